--- a/src/allowance/internal/allowancekeeper.cpp
+++ b/src/allowance/internal/allowancekeeper.cpp
@@ -25,7 +25,7 @@
 {
     std::shared_ptr<AllowanceKeeper> keeper(new AllowanceKeeper(loop, std::move(presence)));
     const std::weak_ptr<AllowanceKeeper> weak = keeper;
-    keeper->presence_->contribute([weak](presence::Status &status) {
+    keeper->presence_->addStatusContributor([weak](presence::Status &status) {
         if (const auto self = weak.lock()) {
             self->fill(status);
         }
@@ -102,7 +102,7 @@
     const TimePoint now = loop_.now();
     for (const presence::CustomerDemand &demand : status.demands) {
         const bool isGroup = !status.summaryOf.empty();
-        notePeer(accountOf(demand.customer), status.instance, {status.incarnation, demand.taken, demand.perSecond, now, status.upFor, isGroup});
+        notePeer(accountOf(demand.customer), status.instance, {status.incarnation, demand.admittedTotal, demand.perSecond, now, status.uptime, isGroup});
     }
 }
 
--- a/src/bench/presence/main.cpp
+++ b/src/bench/presence/main.cpp
@@ -61,14 +61,14 @@
 
     std::size_t sent = 0;
     std::size_t bytes = 0;
-    std::map<http1::Endpoint, Datagrams::Handler> handlers;
+    std::map<http1::Endpoint, DatagramSocket::Handler> handlers;
 
 private:
     EventLoop &loop_;
     std::mt19937 random_{1};
 };
 
-class NetworkEnd : public Datagrams
+class NetworkEnd : public DatagramSocket
 {
 public:
     NetworkEnd(Network &network, http1::Endpoint endpoint)
@@ -137,9 +137,9 @@
         tools.zone = "zone-" + std::to_string(index % Zones);
         tools.endpoint = {"10.0.0.1", static_cast<std::uint16_t>(1000 + index)};
         tools.incarnation = 1'000'000 * (index + 1);
-        tools.datagrams = std::make_shared<NetworkEnd>(network_, tools.endpoint);
+        tools.socket = std::make_shared<NetworkEnd>(network_, tools.endpoint);
         const auto vm = Presence::start(std::move(tools));
-        vm->contribute([this](Status &status) {
+        vm->addStatusContributor([this](Status &status) {
             for (std::size_t i = 0; i < Customers; i++) {
                 // The time stands in for a counter: a sum of them over its VMs says how old it is.
                 status.demands.push_back({i, 1, std::chrono::duration<double>(loop_->now().time_since_epoch()).count()});
@@ -160,12 +160,12 @@
     void collectAges(const Presence &vm, std::vector<Duration> &ages) const
     {
         const double now = std::chrono::duration<double>(loop_->now().time_since_epoch()).count();
-        for (const Peer *peer : vm.heardLately(Settle)) {
+        for (const Peer *peer : vm.recentlyHeard(Settle)) {
             if (peer->status->demands.empty()) {
                 continue;
             }
             const CustomerDemand &demand = peer->status->demands.front();
-            ages.push_back(std::chrono::duration_cast<Duration>(std::chrono::duration<double>(now - demand.taken / demand.perSecond)));
+            ages.push_back(std::chrono::duration_cast<Duration>(std::chrono::duration<double>(now - demand.admittedTotal / demand.perSecond)));
         }
     }
 
--- a/src/duties/dutiesmodule.cpp
+++ b/src/duties/dutiesmodule.cpp
@@ -65,7 +65,7 @@
         tools.api = api;
         tools.usage = context.get<usage::UsageCounter>();
         tools.manifests = context.get<manifest::ManifestKeeper>();
-        tools.time = context.get<presence::TrueTime>();
+        tools.time = context.get<presence::ClusterClock>();
         tools.log = context.get<eventlog::EventLog>();
         context.set(UsageReporter::start(std::move(tools)));
     }
--- a/src/duties/internal/dutylease.cpp
+++ b/src/duties/internal/dutylease.cpp
@@ -47,10 +47,10 @@
     std::shared_ptr<DutyLease> lease(new DutyLease(std::move(tools)));
     DutyLease *raw = lease.get();
     raw->timer_ = raw->tools_.loop->every(TickPeriod, [raw] { raw->tick(); });
-    raw->tools_.presence->contribute([weak = std::weak_ptr<DutyLease>(lease)](presence::Status &status) {
+    raw->tools_.presence->addStatusContributor([weak = std::weak_ptr<DutyLease>(lease)](presence::Status &status) {
         const auto self = weak.lock();
         status.holdsLease = self && self->holds_ && !self->ended_;
-        status.lacksStore = self && self->lacksStore_;
+        status.isStoreUnavailable = self && self->lacksStore_;
     });
     raw->tools_.store->eras().onRestored([weak = std::weak_ptr<DutyLease>(lease)] {
         if (const auto self = weak.lock()) {
@@ -85,11 +85,11 @@
 // that ended since have counted, which a process that has just begun has not.
 bool DutyLease::isMyTurn() const
 {
-    const auto heard = tools_.presence->heardLately(std::max(HeardWithin, tools_.presence->period() * 2));
+    const auto heard = tools_.presence->recentlyHeard(std::max(HeardWithin, tools_.presence->period() * 2));
     return std::none_of(heard.begin(), heard.end(), [this](const presence::Peer *peer) {
         const presence::Status &status = *peer->status;
-        const bool runs = !status.isDraining && !status.lacksStore;
-        return status.holdsLease || (runs && tools_.presence->upFor(*peer) > tools_.presence->upFor());
+        const bool runs = !status.isDraining && !status.isStoreUnavailable;
+        return status.holdsLease || (runs && tools_.presence->uptime(*peer) > tools_.presence->uptime());
     });
 }
 
@@ -118,7 +118,7 @@
         return;
     }
     const bool mayBeOthers = tools_.presence->vmCount() != std::optional<std::size_t>(1);
-    if (mayBeOthers && tools_.presence->upFor() < HearFirst) {
+    if (mayBeOthers && tools_.presence->uptime() < HearFirst) {
         return;
     }
     if (!isMyTurn()) {
--- a/src/duties/internal/orderkeeper.cpp
+++ b/src/duties/internal/orderkeeper.cpp
@@ -114,7 +114,7 @@
 FleetLoad OrderKeeper::fleetLoad(const std::string &service) const
 {
     std::vector<presence::ServiceLoad> loads = tools_.ownLoads();
-    for (const presence::Peer *peer : tools_.presence->heardLately(LoadLife)) {
+    for (const presence::Peer *peer : tools_.presence->recentlyHeard(LoadLife)) {
         loads.insert(loads.end(), peer->status->services.begin(), peer->status->services.end());
     }
     return sumLoads(loads, presence::nameHash(service));
--- a/src/duties/internal/servergoal.cpp
+++ b/src/duties/internal/servergoal.cpp
@@ -56,7 +56,7 @@
         }
         sum.promptTokensPerSecond += load.promptTokensPerSecond;
         sum.open += load.open;
-        sum.lateness += load.lateness * load.answersPerSecond;
+        sum.lateness += load.latencyRatio * load.answersPerSecond;
         answers += load.answersPerSecond;
     }
     sum.lateness = answers > 0 ? sum.lateness / answers : 0;
--- a/src/duties/tests/dutiestest.h
+++ b/src/duties/tests/dutiestest.h
@@ -15,7 +15,7 @@
 inline constexpr Duration Lease = seconds(3);
 
 /// Datagrams arrive at all VMs that are connected, and at none by default: then what they agree on goes through the store.
-class TestDatagrams : public presence::Datagrams
+class TestDatagrams : public presence::DatagramSocket
 {
 public:
     void send(const http1::Endpoint &, std::string_view bytes) override
@@ -78,7 +78,7 @@
     std::shared_ptr<rows::MemoryRowStore> store;
     std::shared_ptr<TestDatagrams> datagrams;
     std::shared_ptr<presence::Presence> presence;
-    std::shared_ptr<presence::TrueTime> time;
+    std::shared_ptr<presence::ClusterClock> time;
     std::shared_ptr<usage::UsageCounter> usage;
     std::shared_ptr<DutyLease> lease;
     std::shared_ptr<UsageReporter> reporter;
@@ -107,13 +107,13 @@
         presenceTools.loop = loop_.get();
         presenceTools.store = vm.store;
         vm.datagrams = std::make_shared<TestDatagrams>();
-        presenceTools.datagrams = vm.datagrams;
+        presenceTools.socket = vm.datagrams;
         presenceTools.log = log_;
         presenceTools.instance = instance;
         presenceTools.endpoint = {"10.0.0.1", 1};
         presenceTools.incarnation = ++incarnations_;
         vm.presence = presence::Presence::start(std::move(presenceTools));
-        vm.time = presence::TrueTime::create(*loop_, vm.store, vm.presence);
+        vm.time = presence::ClusterClock::create(*loop_, vm.store, vm.presence);
         vm.usage = usage::UsageCounter::create(vm.presence, vm.time, seconds(5));
         LeaseTools leaseTools;
         leaseTools.loop = loop_.get();
--- a/src/duties/usagereporter.h
+++ b/src/duties/usagereporter.h
@@ -15,7 +15,7 @@
     std::shared_ptr<DutyApi> api;
     std::shared_ptr<usage::UsageCounter> usage;
     std::shared_ptr<manifest::ManifestKeeper> manifests;
-    std::shared_ptr<presence::TrueTime> time;
+    std::shared_ptr<presence::ClusterClock> time;
     std::shared_ptr<eventlog::EventLog> log;
 };
 
--- a/src/forwarding/forwardingmodule.cpp
+++ b/src/forwarding/forwardingmodule.cpp
@@ -62,13 +62,13 @@
         tools.limits = context.find<ServerLimitGate>();
         tools.demand = std::make_shared<ServiceDemand>();
         context.set(tools.demand);
-        context.get<presence::Presence>()->contribute(
+        context.get<presence::Presence>()->addStatusContributor(
             [demand = tools.demand, loop = tools.loop](presence::Status &status) { status.services = demand->loads(loop->now()); });
         tools.peerWork = std::make_shared<PeerWork>();
-        context.get<presence::Presence>()->contribute([pool](presence::Status &status) { status.works = pool->waitingWork(); });
+        context.get<presence::Presence>()->addStatusContributor([pool](presence::Status &status) { status.serverWork = pool->waitingWork(); });
         context.get<presence::Presence>()->onStatus([work = tools.peerWork, loop = tools.loop](const presence::Status &status, std::optional<TimePoint>) {
             if (!status.isPartial) {
-                work->takeTold(status.instance, status.works, loop->now());
+                work->takeTold(status.instance, status.serverWork, loop->now());
             }
         });
         tools.vmCount = [presence = context.get<presence::Presence>()] {
--- a/src/forwarding/internal/servicedemand.cpp
+++ b/src/forwarding/internal/servicedemand.cpp
@@ -57,7 +57,7 @@
         load.promptTokensPerSecond = entry.tokensPerSecond;
         load.open = entry.open;
         load.answersPerSecond = entry.answersPerSecond;
-        load.lateness = entry.answersPerSecond > 0 ? entry.latenessPerSecond / entry.answersPerSecond : 0;
+        load.latencyRatio = entry.answersPerSecond > 0 ? entry.latenessPerSecond / entry.answersPerSecond : 0;
         loads.push_back(load);
     }
     return loads;
--- a/src/outliers/outliersmodule.cpp
+++ b/src/outliers/outliersmodule.cpp
@@ -33,7 +33,7 @@
         EventLoop *loop = context.get<Runtime>()->loop;
         const auto presence = context.get<presence::Presence>();
         const auto detector = OutlierDetector::create(*loop, context.get<eventlog::EventLog>());
-        presence->contribute([detector](presence::Status &status) { status.outcomes = detector->told(); });
+        presence->addStatusContributor([detector](presence::Status &status) { status.outcomes = detector->told(); });
         presence->onStatus([detector](const presence::Status &status, std::optional<TimePoint>) {
             if (!status.isPartial) {
                 detector->takeTold(status.instance, status.outcomes);
--- a/src/prefixindex/prefixindexmodule.cpp
+++ b/src/prefixindex/prefixindexmodule.cpp
@@ -33,7 +33,7 @@
         EventLoop *loop = context.get<Runtime>()->loop;
         const auto presence = context.get<presence::Presence>();
         const auto index = PrefixIndex::create(*loop);
-        presence->contribute([index](presence::Status &status) { status.prefixes = index->told(); });
+        presence->addStatusContributor([index](presence::Status &status) { status.prefixes = index->told(); });
         presence->onStatus([index](const presence::Status &status, std::optional<TimePoint>) { index->takeTold(status.prefixes); });
         loop->every(TickPeriod, [index] { index->tick(); });
         context.get<metrics::Metrics>()->gauge("prompt_prefixes_known", [index] { return static_cast<double>(index->size()); });
--- a/src/presence/truetime.h
+++ b/src/presence/clusterclock.h
@@ -10,21 +10,21 @@
 namespace cardamomlift::presence {
 
 /// The offset that most VMs agree on: the median. Empty without offsets.
-std::optional<Duration> agreedOffset(std::vector<Duration> offsets);
+std::optional<Duration> medianOffset(std::vector<Duration> offsets);
 
 /// The time of day without the jumps that single VMs' clocks make. Each VM knows its own offset from the store's steady
 /// clock; the median over all VMs is taken for true.
-class TrueTime
+class ClusterClock
 {
 public:
-    static std::shared_ptr<TrueTime> create(EventLoop &loop, std::shared_ptr<rows::RowStore> store, std::shared_ptr<Presence> presence);
+    static std::shared_ptr<ClusterClock> create(EventLoop &loop, std::shared_ptr<rows::RowStore> store, std::shared_ptr<Presence> presence);
     /// Empty until the store has answered once.
     std::optional<WallTime> now() const;
     /// The store's clock now, reckoned from its newest reading.
     std::optional<Duration> storeNow() const;
 
 private:
-    TrueTime(EventLoop &loop, std::shared_ptr<rows::RowStore> store, std::shared_ptr<Presence> presence);
+    ClusterClock(EventLoop &loop, std::shared_ptr<rows::RowStore> store, std::shared_ptr<Presence> presence);
     std::optional<Duration> ownOffset() const;
     EventLoop &loop_;
     std::shared_ptr<rows::RowStore> store_;
--- a/src/presence/datagrams.h
+++ b/src/presence/datagramsocket.h
@@ -11,27 +11,27 @@
 namespace cardamomlift::presence {
 
 /// Sends and takes datagrams between entry VMs. Any of them may be lost, doubled or late.
-class Datagrams
+class DatagramSocket
 {
 public:
     using Handler = std::function<void(std::string_view bytes)>;
-    virtual ~Datagrams() = default;
+    virtual ~DatagramSocket() = default;
     virtual void send(const http1::Endpoint &to, std::string_view bytes) = 0;
     virtual void onDatagram(Handler handler) = 0;
 };
 
 /// UDP on one port.
-class UdpDatagrams : public Datagrams
+class UdpDatagramSocket : public DatagramSocket
 {
 public:
-    static Result<std::shared_ptr<UdpDatagrams>> open(EventLoop &loop, const http1::Endpoint &at);
-    ~UdpDatagrams() override;
+    static Result<std::shared_ptr<UdpDatagramSocket>> open(EventLoop &loop, const http1::Endpoint &at);
+    ~UdpDatagramSocket() override;
     void send(const http1::Endpoint &to, std::string_view bytes) override;
     void onDatagram(Handler handler) override;
 
 private:
     struct Impl;
-    UdpDatagrams();
+    UdpDatagramSocket();
     std::unique_ptr<Impl> impl_;
 };
 
--- a/src/presence/partners.h
+++ b/src/presence/grouppeerselector.h
@@ -10,15 +10,15 @@
 namespace cardamomlift::presence {
 
 /// Which VMs of other groups this VM asks for the sums of their groups, by who has answered lately.
-class Partners
+class GroupPeerSelector
 {
 public:
     /// The VMs to ask now among @p members of one group, which are in the order of their rank; they count as asked. It is the
     /// first one; where that has not answered its last question, the next two beside it.
-    std::vector<std::string> ask(std::span<const std::string> members, TimePoint now);
+    std::vector<std::string> select(std::span<const std::string> members, TimePoint now);
     /// The one that answered last among the first of @p members; the first if none is in doubt; empty if there are none.
-    std::string reachable(std::span<const std::string> members) const;
-    void noteHeard(const std::string &instance);
+    std::string reachableMember(std::span<const std::string> members) const;
+    void recordAnswer(const std::string &instance);
 
 private:
     struct Question {
--- a/src/presence/internal/truetime.cpp
+++ b/src/presence/internal/clusterclock.cpp
@@ -1,4 +1,4 @@
-#include "presence/truetime.h"
+#include "presence/clusterclock.h"
 
 #include <algorithm>
 
@@ -11,7 +11,7 @@
 
 } // namespace
 
-std::optional<Duration> agreedOffset(std::vector<Duration> offsets)
+std::optional<Duration> medianOffset(std::vector<Duration> offsets)
 {
     if (offsets.empty()) {
         return std::nullopt;
@@ -21,17 +21,17 @@
     return *middle;
 }
 
-TrueTime::TrueTime(EventLoop &loop, std::shared_ptr<rows::RowStore> store, std::shared_ptr<Presence> presence)
+ClusterClock::ClusterClock(EventLoop &loop, std::shared_ptr<rows::RowStore> store, std::shared_ptr<Presence> presence)
     : loop_(loop)
     , store_(std::move(store))
     , presence_(std::move(presence))
 {
 }
 
-std::shared_ptr<TrueTime> TrueTime::create(EventLoop &loop, std::shared_ptr<rows::RowStore> store, std::shared_ptr<Presence> presence)
+std::shared_ptr<ClusterClock> ClusterClock::create(EventLoop &loop, std::shared_ptr<rows::RowStore> store, std::shared_ptr<Presence> presence)
 {
-    std::shared_ptr<TrueTime> time(new TrueTime(loop, std::move(store), std::move(presence)));
-    time->presence_->contribute([weak = std::weak_ptr<TrueTime>(time)](Status &status) {
+    std::shared_ptr<ClusterClock> time(new ClusterClock(loop, std::move(store), std::move(presence)));
+    time->presence_->addStatusContributor([weak = std::weak_ptr<ClusterClock>(time)](Status &status) {
         if (const auto self = weak.lock()) {
             status.clockOffset = self->ownOffset();
         }
@@ -39,7 +39,7 @@
     return time;
 }
 
-std::optional<Duration> TrueTime::storeNow() const
+std::optional<Duration> ClusterClock::storeNow() const
 {
     const auto clock = store_->clock();
     if (!clock) {
@@ -48,7 +48,7 @@
     return clock->storeTime + (loop_.now() - clock->readAt);
 }
 
-std::optional<Duration> TrueTime::ownOffset() const
+std::optional<Duration> ClusterClock::ownOffset() const
 {
     const auto store = storeNow();
     if (!store) {
@@ -57,7 +57,7 @@
     return loop_.clock().wallNow().time_since_epoch() - *store;
 }
 
-std::optional<WallTime> TrueTime::now() const
+std::optional<WallTime> ClusterClock::now() const
 {
     const auto store = storeNow();
     const auto own = ownOffset();
@@ -71,7 +71,7 @@
             offsets.push_back(*peer.status->clockOffset);
         }
     }
-    return WallTime(*store + *agreedOffset(std::move(offsets)));
+    return WallTime(*store + *medianOffset(std::move(offsets)));
 }
 
 } // namespace cardamomlift::presence
--- a/src/presence/internal/datagrams.cpp
+++ b/src/presence/internal/datagramsocket.cpp
@@ -1,4 +1,4 @@
-#include "presence/datagrams.h"
+#include "presence/datagramsocket.h"
 
 #include <arpa/inet.h>
 #include <ev.h>
@@ -17,7 +17,7 @@
 
 } // namespace
 
-struct UdpDatagrams::Impl {
+struct UdpDatagramSocket::Impl {
     EventLoop *loop = nullptr;
     int descriptor = -1;
     ev_io watcher{};
@@ -36,14 +36,14 @@
     }
 };
 
-UdpDatagrams::UdpDatagrams()
+UdpDatagramSocket::UdpDatagramSocket()
     : impl_(std::make_unique<Impl>())
 {
 }
 
-Result<std::shared_ptr<UdpDatagrams>> UdpDatagrams::open(EventLoop &loop, const http1::Endpoint &at)
+Result<std::shared_ptr<UdpDatagramSocket>> UdpDatagramSocket::open(EventLoop &loop, const http1::Endpoint &at)
 {
-    std::shared_ptr<UdpDatagrams> datagrams(new UdpDatagrams);
+    std::shared_ptr<UdpDatagramSocket> datagrams(new UdpDatagramSocket);
     Impl *impl = datagrams->impl_.get();
     impl->loop = &loop;
     impl->descriptor = ::socket(AF_INET, SOCK_DGRAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
@@ -60,7 +60,7 @@
     return datagrams;
 }
 
-UdpDatagrams::~UdpDatagrams()
+UdpDatagramSocket::~UdpDatagramSocket()
 {
     if (impl_->descriptor >= 0) {
         ev_io_stop(impl_->loop->raw(), &impl_->watcher);
@@ -68,7 +68,7 @@
     }
 }
 
-void UdpDatagrams::send(const http1::Endpoint &to, std::string_view bytes)
+void UdpDatagramSocket::send(const http1::Endpoint &to, std::string_view bytes)
 {
     sockaddr_in address{};
     address.sin_family = AF_INET;
@@ -78,7 +78,7 @@
     (void)::sendto(impl_->descriptor, bytes.data(), bytes.size(), MSG_NOSIGNAL, reinterpret_cast<const sockaddr *>(&address), sizeof address);
 }
 
-void UdpDatagrams::onDatagram(Handler handler)
+void UdpDatagramSocket::onDatagram(Handler handler)
 {
     impl_->handler = std::move(handler);
     ev_io_start(impl_->loop->raw(), &impl_->watcher);
--- a/src/presence/internal/partners.cpp
+++ b/src/presence/internal/grouppeerselector.cpp
@@ -1,4 +1,4 @@
-#include "presence/partners.h"
+#include "presence/grouppeerselector.h"
 
 namespace cardamomlift::presence {
 
@@ -13,7 +13,7 @@
 
 } // namespace
 
-std::vector<std::string> Partners::ask(std::span<const std::string> members, TimePoint now)
+std::vector<std::string> GroupPeerSelector::select(std::span<const std::string> members, TimePoint now)
 {
     std::vector<std::string> asked;
     int wanted = 1;
@@ -35,7 +35,7 @@
     return asked;
 }
 
-std::string Partners::reachable(std::span<const std::string> members) const
+std::string GroupPeerSelector::reachableMember(std::span<const std::string> members) const
 {
     for (const std::string &member : members) {
         const auto question = questions_.find(member);
@@ -47,7 +47,7 @@
     return members.empty() ? std::string() : members.front();
 }
 
-void Partners::noteHeard(const std::string &instance)
+void GroupPeerSelector::recordAnswer(const std::string &instance)
 {
     const auto question = questions_.find(instance);
     if (question != questions_.end()) {
--- a/src/presence/internal/presence.cpp
+++ b/src/presence/internal/presence.cpp
@@ -25,7 +25,7 @@
 /// usual gets up to 0.06 more than its limit in a window (model of the allowances with 288 VMs).
 constexpr Duration PeriodPerPeer = std::chrono::microseconds(7500);
 /// Changes within this go out together.
-constexpr Duration SendNowDelay = std::chrono::milliseconds(20);
+constexpr Duration BroadcastDelay = std::chrono::milliseconds(20);
 /// Sequences whose sending time is kept: some four seconds of them. An echo older than that proves nothing of use.
 constexpr std::size_t SentKept = 256;
 /// A group mate, or a group, that was silent this long is logged as lost.
@@ -43,11 +43,11 @@
     partial.sequence = status.sequence;
     partial.tables = status.tables;
     partial.manifestVersion = status.manifestVersion;
-    partial.storeBack = status.storeBack;
-    partial.isFast = status.isFast;
-    partial.upFor = status.upFor;
+    partial.sinceStoreOutage = status.sinceStoreOutage;
+    partial.isStoreReader = status.isStoreReader;
+    partial.uptime = status.uptime;
     partial.holdsLease = status.holdsLease;
-    partial.lacksStore = status.lacksStore;
+    partial.isStoreUnavailable = status.isStoreUnavailable;
     partial.isDraining = status.isDraining;
     partial.isPartial = true;
     return partial;
@@ -76,7 +76,7 @@
 {
     std::shared_ptr<Presence> presence(new Presence(std::move(tools)));
     Presence *raw = presence.get();
-    raw->tools_.datagrams->onDatagram([raw](std::string_view bytes) { raw->onDatagram(bytes); });
+    raw->tools_.socket->onDatagram([raw](std::string_view bytes) { raw->onDatagram(bytes); });
     rows::WatchHandlers handlers;
     handlers.onAll = [raw](const rows::WholeTable &whole) {
         raw->replaceRows(whole);
@@ -194,11 +194,11 @@
     status.instance = tools_.instance;
     status.incarnation = tools_.incarnation;
     status.sequence = nextSequence();
-    status.upFor = upFor();
+    status.uptime = uptime();
     for (const auto &fill : fillers_) {
         fill(status);
     }
-    status.isFast = isFast_ && isFast_();
+    status.isStoreReader = isStoreReader_ && isStoreReader_();
     return status;
 }
 
@@ -214,7 +214,7 @@
 // Changes go only to those that have not heard of them.
 void Presence::sendTo(const Peer &peer, const Status &status, bool tellsChanges)
 {
-    std::map<std::string, ToldChanges> told;
+    std::map<std::string, TableDelta> told;
     if (tellsChanges) {
         for (const auto &[table, news] : status.tables) {
             if (auto changes = changesFor(peer, table, news)) {
@@ -222,11 +222,11 @@
             }
         }
     }
-    tools_.datagrams->send(peer.endpoint, encodeStatus(status, peer.status ? peer.status->sequence : 0, told));
+    tools_.socket->send(peer.endpoint, encodeStatus(status, peer.status ? peer.status->sequence : 0, told));
 }
 
 // Most peers lack the same changes, so they are packed once a round.
-std::optional<ToldChanges> Presence::changesFor(const Peer &peer, const std::string &table, const rows::TableNews &news)
+std::optional<TableDelta> Presence::changesFor(const Peer &peer, const std::string &table, const rows::TableNews &news)
 {
     if (!peer.status) {
         return std::nullopt;
@@ -238,7 +238,7 @@
     const rows::StoreVersion has = known->second.version;
     const auto [place, isNew] = packed_.try_emplace({table, has, news.version});
     if (isNew) {
-        place->second = changesAfter(news, has);
+        place->second = deltaSince(news, has);
     }
     return place->second;
 }
@@ -268,29 +268,29 @@
         }
         index++;
         if ((round_ + index) % rounds == 0) {
-            sendTo(peer, full, full.isFast);
-        } else if (full.isFast || (peer.status && peer.status->isFast)) {
-            sendTo(peer, partial, full.isFast);
+            sendTo(peer, full, full.isStoreReader);
+        } else if (full.isStoreReader || (peer.status && peer.status->isStoreReader)) {
+            sendTo(peer, partial, full.isStoreReader);
         }
     }
 }
 
-void Presence::sendNow(Reach reach)
+void Presence::scheduleChangeBroadcast(BroadcastScope scope)
 {
-    const bool isPosted = sendNowReach_.has_value();
-    sendNowReach_ = isPosted ? std::max(*sendNowReach_, reach) : reach;
+    const bool isPosted = pendingBroadcast_.has_value();
+    pendingBroadcast_ = isPosted ? std::max(*pendingBroadcast_, scope) : scope;
     if (isPosted) {
         return;
     }
-    tools_.loop->after(SendNowDelay, [weak = weak_from_this()] {
+    tools_.loop->after(BroadcastDelay, [weak = weak_from_this()] {
         if (const auto self = weak.lock()) {
-            self->sendChanges(*std::exchange(self->sendNowReach_, std::nullopt));
+            self->broadcastChanges(*std::exchange(self->pendingBroadcast_, std::nullopt));
         }
     });
 }
 
 // The VM of another group that hears it tells its group mates.
-void Presence::sendChanges(Reach reach)
+void Presence::broadcastChanges(BroadcastScope scope)
 {
     packed_.clear();
     const Status partial = partialOf(makeStatus());
@@ -300,12 +300,12 @@
         }
     }
     // A VM that does not follow the store may have read it all the same; then only its group may lack the change.
-    if (reach == Reach::Group || !partial.isFast) {
+    if (scope == BroadcastScope::Group || !partial.isStoreReader) {
         return;
     }
     std::vector<std::string> told;
     for (const auto &[name, members] : members_) {
-        told.push_back(partners_.reachable(members));
+        told.push_back(peerSelector_.reachableMember(members));
     }
     for (const std::string &instance : told) {
         if (const auto peer = peers_.find(instance); peer != peers_.end()) {
@@ -350,7 +350,7 @@
         return;
     }
     peer.heardAt = tools_.loop->now();
-    partners_.noteHeard(status.instance);
+    peerSelector_.recordAnswer(status.instance);
     const auto provenAt = provenTime(message->echo);
     if (!status.summaryOf.empty()) {
         takeSummary(peer, std::move(message->status), provenAt);
@@ -360,11 +360,11 @@
     if (peer.group != group_ && !status.isPartial) {
         message->status = partialOf(status);
     }
-    const bool asks = status.asksSummary;
+    const bool asks = status.requestsSummary;
     // NOTE Handlers see what was sent: what a partial status lacks would count twice if it were merged first.
     tellHandlers(message->status, provenAt);
     merge(peer, std::move(message->status));
-    if (asks && layout_.perZone > 0) {
+    if (asks && layout_.groupsPerZone > 0) {
         answer(peer);
     }
 }
@@ -378,17 +378,17 @@
     peer.status->sequence = status.sequence;
     peer.status->tables = std::move(status.tables);
     peer.status->manifestVersion = status.manifestVersion;
-    peer.status->storeBack = status.storeBack;
-    peer.status->isFast = status.isFast;
-    peer.status->upFor = status.upFor;
+    peer.status->sinceStoreOutage = status.sinceStoreOutage;
+    peer.status->isStoreReader = status.isStoreReader;
+    peer.status->uptime = status.uptime;
     peer.status->holdsLease = status.holdsLease;
-    peer.status->lacksStore = status.lacksStore;
+    peer.status->isStoreUnavailable = status.isStoreUnavailable;
     peer.status->isDraining = status.isDraining;
 }
 
-void Presence::setFast(std::function<bool()> isFast)
+void Presence::setStoreReaderCheck(std::function<bool()> isStoreReader)
 {
-    isFast_ = std::move(isFast);
+    isStoreReader_ = std::move(isStoreReader);
 }
 
 const std::shared_ptr<rows::RowWatch> &Presence::watch() const
@@ -421,7 +421,7 @@
     }
 }
 
-void Presence::contribute(std::function<void(Status &status)> fill)
+void Presence::addStatusContributor(std::function<void(Status &status)> fill)
 {
     fillers_.push_back(std::move(fill));
 }
@@ -446,7 +446,7 @@
     return groups_;
 }
 
-std::vector<const Peer *> Presence::heardLately(Duration age) const
+std::vector<const Peer *> Presence::recentlyHeard(Duration age) const
 {
     std::vector<const Peer *> heard;
     const TimePoint now = tools_.loop->now();
@@ -465,13 +465,13 @@
     return group_;
 }
 
-bool Presence::isGroupMate(const std::string &instance) const
+bool Presence::isInOwnGroup(const std::string &instance) const
 {
     const auto peer = peers_.find(instance);
     return peer != peers_.end() && peer->second.group == group_;
 }
 
-std::size_t Presence::heardWithin(Duration age) const
+std::size_t Presence::countPeersHeardWithin(Duration age) const
 {
     const TimePoint now = tools_.loop->now();
     return std::count_if(peers_.begin(), peers_.end(), [&](const auto &entry) { return entry.second.heardAt && now - *entry.second.heardAt <= age; });
@@ -487,14 +487,14 @@
     return tools_.instance;
 }
 
-Duration Presence::upFor() const
+Duration Presence::uptime() const
 {
     return tools_.loop->now() - startedAt_;
 }
 
-Duration Presence::upFor(const Peer &peer) const
+Duration Presence::uptime(const Peer &peer) const
 {
-    return peer.status && peer.heardAt ? peer.status->upFor + (tools_.loop->now() - *peer.heardAt) : Duration(0);
+    return peer.status && peer.heardAt ? peer.status->uptime + (tools_.loop->now() - *peer.heardAt) : Duration(0);
 }
 
 std::uint64_t Presence::incarnation() const
--- a/src/presence/internal/presencegroups.cpp
+++ b/src/presence/internal/presencegroups.cpp
@@ -32,12 +32,12 @@
     const bool isOther = layout != layout_;
     layout_ = layout;
     group_ = groupOf(layout_, tools_.instance, tools_.zone);
-    groupMates_ = 0;
+    groupPeerCount_ = 0;
     members_.clear();
     for (auto &[instance, peer] : peers_) {
         peer.group = groupOf(layout_, instance, peer.zone);
         if (peer.group == group_) {
-            groupMates_++;
+            groupPeerCount_++;
             continue;
         }
         members_[peer.group].push_back(instance);
@@ -49,7 +49,7 @@
     std::erase_if(groups_, [this](const auto &entry) { return !members_.contains(entry.first); });
     for (auto &[name, members] : members_) {
         std::sort(members.begin(), members.end(), [this](const std::string &a, const std::string &b) {
-            return partnerRank(tools_.instance, a) > partnerRank(tools_.instance, b);
+            return rendezvousRank(tools_.instance, a) > rendezvousRank(tools_.instance, b);
         });
         const auto [place, isNew] = groups_.try_emplace(name);
         if (isNew) {
@@ -67,7 +67,7 @@
 {
     tools_.log->write(eventlog::Event::PeersRegrouped,
         {{eventlog::Attribute::Server, group_},
-            {eventlog::Attribute::Count, static_cast<std::int64_t>(groupMates_)},
+            {eventlog::Attribute::Count, static_cast<std::int64_t>(groupPeerCount_)},
             {eventlog::Attribute::Present, static_cast<std::int64_t>(groups_.size())}});
     for (const auto &handler : regrouped_) {
         handler();
@@ -77,27 +77,27 @@
 // A question to a group and the answer to one from it cost as much as two statuses.
 std::size_t Presence::contacts() const
 {
-    return groupMates_ + 2 * groups_.size();
+    return groupPeerCount_ + 2 * groups_.size();
 }
 
 void Presence::askGroups(const Status &partial)
 {
     Status question = partial;
-    question.asksSummary = true;
+    question.requestsSummary = true;
     const int rounds = fullRounds();
     std::vector<std::string> asked;
     int index = 0;
     for (const auto &[name, members] : members_) {
         index++;
         if ((round_ + index) % rounds == 0) {
-            const auto chosen = partners_.ask(members, tools_.loop->now());
+            const auto chosen = peerSelector_.select(members, tools_.loop->now());
             asked.insert(asked.end(), chosen.begin(), chosen.end());
         }
     }
     // NOTE Only now: an answer may bring rows by which the VMs are divided anew.
     for (const std::string &instance : asked) {
         if (const auto peer = peers_.find(instance); peer != peers_.end()) {
-            sendTo(peer->second, question, partial.isFast);
+            sendTo(peer->second, question, partial.isStoreReader);
         }
     }
 }
@@ -109,7 +109,7 @@
     if ((round_ + nameHash(tools_.instance)) % rounds != 0) {
         return;
     }
-    for (const Peer *group : heardLately(HolderHeardWithin)) {
+    for (const Peer *group : recentlyHeard(HolderHeardWithin)) {
         const auto holder = peers_.find(group->status->leaseHolder);
         if (holder != peers_.end() && holder->second.group != group_) {
             // NOTE Another sequence than a question's of this round, of which the holder takes only one.
@@ -136,7 +136,7 @@
     summary.incarnation = own_.incarnation;
     summary.tables = own_.tables;
     summary.manifestVersion = own_.manifestVersion;
-    summary.storeBack = own_.storeBack;
+    summary.sinceStoreOutage = own_.sinceStoreOutage;
     return summary;
 }
 
@@ -162,7 +162,7 @@
     teller.sequence = status.sequence;
     teller.tables = status.tables;
     teller.manifestVersion = status.manifestVersion;
-    teller.storeBack = status.storeBack;
+    teller.sinceStoreOutage = status.sinceStoreOutage;
     teller.isPartial = true;
     merge(peer, std::move(teller));
     const auto group = groups_.find(status.summaryOf);
@@ -170,7 +170,7 @@
         return;
     }
     status.instance = status.summaryOf;
-    status.incarnation = status.members;
+    status.incarnation = status.membersHash;
     tellHandlers(status, provenAt);
     group->second.heardAt = tools_.loop->now();
     group->second.status = std::move(status);
--- a/src/presence/internal/statusformat.cpp
+++ b/src/presence/internal/statusformat.cpp
@@ -27,7 +27,7 @@
 }
 
 /// @p told: null if there is nothing to tell.
-void addTable(wire::Status &out, const std::string &table, const rows::TableNews &news, const ToldChanges *told)
+void addTable(wire::Status &out, const std::string &table, const rows::TableNews &news, const TableDelta *told)
 {
     auto *entry = out.add_tables();
     entry->set_table(table);
@@ -85,7 +85,7 @@
     }
 }
 
-void addRollout(wire::Status &out, const RolloutNews &news)
+void addRollout(wire::Status &out, const RolloutReport &news)
 {
     auto *entry = out.add_rollouts();
     entry->set_service(news.service);
@@ -101,9 +101,9 @@
     }
 }
 
-RolloutNews readRollout(const wire::RolloutNews &entry)
+RolloutReport readRollout(const wire::RolloutNews &entry)
 {
-    RolloutNews news;
+    RolloutReport news;
     news.service = entry.service();
     news.order = {entry.order_era(), entry.order()};
     news.openAtOthers = entry.open_at_others();
@@ -154,7 +154,7 @@
     return changes;
 }
 
-std::string encodeStatus(const Status &status, std::uint64_t echo, const std::map<std::string, ToldChanges> &told)
+std::string encodeStatus(const Status &status, std::uint64_t echo, const std::map<std::string, TableDelta> &told)
 {
     wire::Status out;
     out.set_instance(status.instance);
@@ -166,8 +166,8 @@
         addTable(out, table, news, changes == told.end() ? nullptr : &changes->second);
     }
     out.set_manifest_version(status.manifestVersion);
-    if (status.storeBack) {
-        out.set_store_back_us(micros(*status.storeBack));
+    if (status.sinceStoreOutage) {
+        out.set_store_back_us(micros(*status.sinceStoreOutage));
     }
     if (status.clockOffset) {
         out.set_clock_offset_ms(std::chrono::duration_cast<std::chrono::milliseconds>(*status.clockOffset).count());
@@ -176,7 +176,7 @@
         auto *entry = out.add_demands();
         entry->set_customer(demand.customer);
         entry->set_per_second(static_cast<float>(demand.perSecond));
-        entry->set_taken(demand.taken);
+        entry->set_taken(demand.admittedTotal);
     }
     for (const UsageCount &usage : status.usage) {
         auto *entry = out.add_usage();
@@ -200,7 +200,7 @@
         entry->set_service(load.service);
         entry->set_prompt_tokens_per_second(static_cast<float>(load.promptTokensPerSecond));
         entry->set_open(load.open);
-        entry->set_lateness(static_cast<float>(load.lateness));
+        entry->set_lateness(static_cast<float>(load.latencyRatio));
         entry->set_answers_per_second(static_cast<float>(load.answersPerSecond));
     }
     for (const PrefixUse &use : status.prefixes) {
@@ -208,7 +208,7 @@
         entry->set_prefix(use.prefix);
         entry->set_server(use.server);
     }
-    for (const ServerWork &work : status.works) {
+    for (const ServerWork &work : status.serverWork) {
         auto *entry = out.add_works();
         entry->set_server(work.server);
         entry->set_waiting_tokens(static_cast<std::uint32_t>(std::clamp<std::int64_t>(work.waitingTokens, 0, UINT32_MAX)));
@@ -224,19 +224,19 @@
     for (const std::uint64_t suspect : status.suspects) {
         out.add_suspects(suspect);
     }
-    for (const RolloutNews &news : status.rollouts) {
+    for (const RolloutReport &news : status.rollouts) {
         addRollout(out, news);
     }
     out.set_holds_lease(status.holdsLease);
-    out.set_lacks_store(status.lacksStore);
+    out.set_lacks_store(status.isStoreUnavailable);
     out.set_draining(status.isDraining);
     out.set_partial(status.isPartial);
-    out.set_fast(status.isFast);
-    out.set_asks_summary(status.asksSummary);
+    out.set_fast(status.isStoreReader);
+    out.set_asks_summary(status.requestsSummary);
     out.set_summary_of(status.summaryOf);
-    out.set_members(status.members);
+    out.set_members(status.membersHash);
     out.set_lease_holder(status.leaseHolder);
-    out.set_up_ms(std::chrono::duration_cast<std::chrono::milliseconds>(status.upFor).count());
+    out.set_up_ms(std::chrono::duration_cast<std::chrono::milliseconds>(status.uptime).count());
     return out.SerializeAsString();
 }
 
@@ -259,7 +259,7 @@
     }
     status.manifestVersion = in.manifest_version();
     if (in.has_store_back_us()) {
-        status.storeBack = Duration(in.store_back_us());
+        status.sinceStoreOutage = Duration(in.store_back_us());
     }
     if (in.has_clock_offset_ms()) {
         status.clockOffset = std::chrono::milliseconds(in.clock_offset_ms());
@@ -285,7 +285,7 @@
         status.prefixes.push_back({entry.prefix(), entry.server()});
     }
     for (const auto &entry : in.works()) {
-        status.works.push_back({entry.server(), entry.waiting_tokens()});
+        status.serverWork.push_back({entry.server(), entry.waiting_tokens()});
     }
     for (const auto &entry : in.limits()) {
         status.limits.push_back({entry.server(), entry.has_per_second(), entry.per_second(), std::chrono::milliseconds(entry.age_ms())});
@@ -295,15 +295,15 @@
         status.rollouts.push_back(readRollout(entry));
     }
     status.holdsLease = in.holds_lease();
-    status.lacksStore = in.lacks_store();
+    status.isStoreUnavailable = in.lacks_store();
     status.isDraining = in.draining();
     status.isPartial = in.partial();
-    status.isFast = in.fast();
-    status.asksSummary = in.asks_summary();
+    status.isStoreReader = in.fast();
+    status.requestsSummary = in.asks_summary();
     status.summaryOf = in.summary_of();
-    status.members = in.members();
+    status.membersHash = in.members();
     status.leaseHolder = in.lease_holder();
-    status.upFor = std::chrono::milliseconds(in.up_ms());
+    status.uptime = std::chrono::milliseconds(in.up_ms());
     return message;
 }
 
--- a/src/presence/internal/statussummary.cpp
+++ b/src/presence/internal/statussummary.cpp
@@ -25,7 +25,7 @@
         CustomerDemand &sum = sums[demand.customer];
         sum.customer = demand.customer;
         sum.perSecond += demand.perSecond;
-        sum.taken += demand.taken;
+        sum.admittedTotal += demand.admittedTotal;
     }
 }
 
@@ -38,7 +38,7 @@
         sum.open += load.open;
         const double answers = sum.answersPerSecond + load.answersPerSecond;
         if (answers > 0) {
-            sum.lateness = (sum.lateness * sum.answersPerSecond + load.lateness * load.answersPerSecond) / answers;
+            sum.latencyRatio = (sum.latencyRatio * sum.answersPerSecond + load.latencyRatio * load.answersPerSecond) / answers;
         }
         sum.answersPerSecond = answers;
     }
@@ -115,15 +115,15 @@
         return;
     }
     const Status &status = *member.status;
-    summary.isFast = summary.isFast || status.isFast;
+    summary.isStoreReader = summary.isStoreReader || status.isStoreReader;
     if (status.holdsLease) {
         summary.holdsLease = true;
         summary.leaseHolder = status.instance;
     }
-    if (!status.isDraining && !status.lacksStore) {
-        summary.lacksStore = false;
+    if (!status.isDraining && !status.isStoreUnavailable) {
+        summary.isStoreUnavailable = false;
         summary.isDraining = false;
-        summary.upFor = std::max(summary.upFor, status.upFor + member.age);
+        summary.uptime = std::max(summary.uptime, status.uptime + member.age);
     }
 }
 
@@ -141,7 +141,7 @@
 {
     Status summary;
     summary.summaryOf = std::move(group);
-    summary.lacksStore = true;
+    summary.isStoreUnavailable = true;
     summary.isDraining = true;
     std::map<std::uint64_t, CustomerDemand> demands;
     std::map<std::uint64_t, ServiceLoad> loads;
@@ -152,13 +152,13 @@
     std::set<std::uint64_t> suspects;
     for (const MemberStatus &member : members) {
         const Status &status = *member.status;
-        summary.members ^= nameHash(status.instance + std::to_string(status.incarnation));
+        summary.membersHash ^= nameHash(status.instance + std::to_string(status.incarnation));
         addStanding(summary, member);
         addDemands(demands, status);
         addLoads(loads, status);
         addOutcomes(views, member);
         addLimits(limits, member);
-        for (const ServerWork &work : status.works) {
+        for (const ServerWork &work : status.serverWork) {
             works[work.server].server = work.server;
             works[work.server].waitingTokens += work.waitingTokens;
         }
@@ -169,8 +169,8 @@
     }
     takeValues(summary.demands, demands);
     takeValues(summary.services, loads);
-    takeValues(summary.works, works);
-    keepLargest(summary.works, MostServers, [](const ServerWork &work) { return work.waitingTokens; });
+    takeValues(summary.serverWork, works);
+    keepLargest(summary.serverWork, MostServers, [](const ServerWork &work) { return work.waitingTokens; });
     takeValues(summary.limits, limits);
     keepLargest(summary.limits, MostLimits, [](const ServerLimit &limit) { return -limit.age; });
     for (const auto &[server, view] : views) {
--- a/src/presence/internal/toldchanges.cpp
+++ b/src/presence/internal/tabledelta.cpp
@@ -1,4 +1,4 @@
-#include "presence/toldchanges.h"
+#include "presence/tabledelta.h"
 
 #include "presence/statusformat.h"
 
@@ -17,7 +17,7 @@
 
 } // namespace
 
-std::optional<ToldChanges> changesAfter(const rows::TableNews &news, rows::StoreVersion has)
+std::optional<TableDelta> deltaSince(const rows::TableNews &news, rows::StoreVersion has)
 {
     // What a VM of another era lacks can't be told: it reads the tables anew.
     if (has.era != news.version.era || news.since > has) {
@@ -29,7 +29,7 @@
     if (packed.empty() || packed.size() > MostPacked) {
         return std::nullopt;
     }
-    return ToldChanges{has, news.version, std::move(packed), news.digest};
+    return TableDelta{has, news.version, std::move(packed), news.digest};
 }
 
 } // namespace cardamomlift::presence
--- a/src/presence/internal/tablerelay.cpp
+++ b/src/presence/internal/tablerelay.cpp
@@ -7,13 +7,13 @@
 namespace {
 
 /// VMs that follow the store at a time: with three, two may be cut off from it or stop in the same second.
-constexpr std::size_t Followers = 3;
+constexpr std::size_t StoreReaders = 3;
 /// A peer that was not heard for this long, nor its row seen, does not count: with many VMs a peer that does not follow
 /// tells of itself only every second or two, and some of that is lost. Too short a time makes more VMs follow than needed.
 constexpr Duration HeardWithin = std::chrono::seconds(5);
 /// A VM that follows the store tells all others three times a second; after four rounds without a word it has ended, or can
 /// not be heard.
-constexpr Duration FollowerHeardWithin = std::chrono::milliseconds(1400);
+constexpr Duration StoreReaderTimeout = std::chrono::milliseconds(1400);
 /// A VM that hears no follower asks the store itself when its knowledge is this old. A server that leaves may get work for
 /// two seconds after the store has said so; with the usual age the VMs knew too late when all followers had ended at once.
 constexpr Duration AskAfterAlone = std::chrono::milliseconds(900);
@@ -38,7 +38,7 @@
 {
     std::shared_ptr<TableRelay> relay(new TableRelay(loop, std::move(presence)));
     const std::weak_ptr<TableRelay> weak = relay;
-    relay->presence_->contribute([weak](Status &status) {
+    relay->presence_->addStatusContributor([weak](Status &status) {
         if (const auto self = weak.lock()) {
             self->fill(status);
         }
@@ -48,9 +48,9 @@
             self->takeStatus(status, provenAt);
         }
     });
-    relay->presence_->setFast([weak] {
+    relay->presence_->setStoreReaderCheck([weak] {
         const auto self = weak.lock();
-        return self && self->follows();
+        return self && self->isStoreReader();
     });
     return relay;
 }
@@ -68,12 +68,12 @@
             return true;
         }
         const auto confirmed = own->confirmedAt();
-        const Duration bound = self->hearsAFollower() ? askAfter : std::min(askAfter, AskAfterAlone);
-        return !confirmed || self->loop_.now() - *confirmed > bound || self->follows();
+        const Duration bound = self->hearsStoreReader() ? askAfter : std::min(askAfter, AskAfterAlone);
+        return !confirmed || self->loop_.now() - *confirmed > bound || self->isStoreReader();
     });
     watch->onNews([weak = weak_from_this()] {
         if (const auto self = weak.lock()) {
-            self->presence_->sendNow(Reach::All);
+            self->presence_->scheduleChangeBroadcast(BroadcastScope::All);
         }
     });
     watches_.push_back({std::move(watch), askAfter});
@@ -84,45 +84,45 @@
     outage_ = std::move(handler);
 }
 
-bool TableRelay::hearsAFollower() const
+bool TableRelay::hearsStoreReader() const
 {
-    const auto heard = presence_->heardLately(followerHeardWithin());
-    return std::any_of(heard.begin(), heard.end(), [](const Peer *peer) { return peer->status->isFast; });
+    const auto heard = presence_->recentlyHeard(storeReaderTimeout());
+    return std::any_of(heard.begin(), heard.end(), [](const Peer *peer) { return peer->status->isStoreReader; });
 }
 
-Duration TableRelay::followerHeardWithin() const
+Duration TableRelay::storeReaderTimeout() const
 {
-    return std::max(FollowerHeardWithin, presence_->period() * 2);
+    return std::max(StoreReaderTimeout, presence_->period() * 2);
 }
 
-bool TableRelay::mayFollow(const Peer &peer) const
+bool TableRelay::mayBeStoreReader(const Peer &peer) const
 {
     const TimePoint seenAt = std::max(peer.listedAt, peer.heardAt.value_or(peer.listedAt));
-    const Duration within = peer.status && peer.status->isFast ? followerHeardWithin() : HeardWithin;
+    const Duration within = peer.status && peer.status->isStoreReader ? storeReaderTimeout() : HeardWithin;
     return loop_.now() - seenAt <= within && (!peer.status || isSource(*peer.status));
 }
 
 // The first by hash among those that are heard and know the store's state themselves: of few VMs the first three; of many
 // the first VM of each of the first three groups.
-bool TableRelay::follows() const
+bool TableRelay::isStoreReader() const
 {
     const std::uint64_t own = nameHash(presence_->instance());
     const std::uint64_t ownGroup = nameHash(presence_->group());
     std::size_t matesBefore = 0;
     for (const auto &[instance, peer] : presence_->peers()) {
-        matesBefore += peer.group == presence_->group() && nameHash(instance) < own && mayFollow(peer) ? 1 : 0;
+        matesBefore += peer.group == presence_->group() && nameHash(instance) < own && mayBeStoreReader(peer) ? 1 : 0;
     }
     std::size_t groupsBefore = 0;
     for (const auto &[name, group] : presence_->groups()) {
-        groupsBefore += nameHash(name) < ownGroup && mayFollow(group) ? 1 : 0;
+        groupsBefore += nameHash(name) < ownGroup && mayBeStoreReader(group) ? 1 : 0;
     }
-    return presence_->groups().empty() ? matesBefore < Followers : matesBefore == 0 && groupsBefore < Followers;
+    return presence_->groups().empty() ? matesBefore < StoreReaders : matesBefore == 0 && groupsBefore < StoreReaders;
 }
 
 // A VM that is cut off from the store, or knows it only by hearsay that has grown old, is no good as a source.
 bool TableRelay::isSource(const Status &status) const
 {
-    if (status.isDraining || (status.storeBack && *status.storeBack < OutageCounts)) {
+    if (status.isDraining || (status.sinceStoreOutage && *status.sinceStoreOutage < OutageCounts)) {
         return false;
     }
     return std::all_of(watches_.begin(), watches_.end(), [&status](const Entry &entry) {
@@ -142,7 +142,7 @@
             continue;
         }
         const Duration back = loop_.now() - *lostUntil;
-        status.storeBack = status.storeBack ? std::min(*status.storeBack, back) : back;
+        status.sinceStoreOutage = status.sinceStoreOutage ? std::min(*status.sinceStoreOutage, back) : back;
     }
 }
 
@@ -160,8 +160,8 @@
         return;
     }
     // NOTE Only with news: the store may be away for the sender alone, and what others say of it is not in doubt then.
-    if (status.storeBack && outage_ && bringsNews(status)) {
-        outage_(loop_.now() - *status.storeBack);
+    if (status.sinceStoreOutage && outage_ && bringsNews(status)) {
+        outage_(loop_.now() - *status.sinceStoreOutage);
     }
     bool isNews = false;
     for (Entry &entry : watches_) {
@@ -171,11 +171,11 @@
         }
         const rows::TableNews &news = found->second;
         const auto own = entry.watch->version();
-        takeNews(entry, news, *provenAt, status.isFast && status.summaryOf.empty());
+        takeNews(entry, news, *provenAt, status.isStoreReader && status.summaryOf.empty());
         isNews = isNews || (entry.watch->version() > own && !news.changes.empty());
     }
-    if (isNews && !presence_->isGroupMate(status.instance)) {
-        presence_->sendNow(Reach::Group);
+    if (isNews && !presence_->isInOwnGroup(status.instance)) {
+        presence_->scheduleChangeBroadcast(BroadcastScope::Group);
     }
 }
 
--- a/src/presence/internal/vmgroups.cpp
+++ b/src/presence/internal/vmgroups.cpp
@@ -28,13 +28,13 @@
 
 std::string groupOf(const GroupLayout &layout, std::string_view instance, std::string_view zone)
 {
-    if (layout.perZone == 0) {
+    if (layout.groupsPerZone == 0) {
         return {};
     }
-    return std::string(zone) + '/' + std::to_string(nameHash(instance) % layout.perZone) + '/' + std::to_string(layout.perZone);
+    return std::string(zone) + '/' + std::to_string(nameHash(instance) % layout.groupsPerZone) + '/' + std::to_string(layout.groupsPerZone);
 }
 
-std::uint64_t partnerRank(std::string_view asking, std::string_view asked)
+std::uint64_t rendezvousRank(std::string_view asking, std::string_view asked)
 {
     return XXH3_64bits_withSeed(asked.data(), asked.size(), nameHash(asking));
 }
--- a/src/presence/presence.h
+++ b/src/presence/presence.h
@@ -2,10 +2,10 @@
 
 #include "eventlog/eventlog.h"
 #include "kernel/eventloop.h"
-#include "presence/datagrams.h"
-#include "presence/partners.h"
+#include "presence/datagramsocket.h"
+#include "presence/grouppeerselector.h"
 #include "presence/presencetypes.h"
-#include "presence/toldchanges.h"
+#include "presence/tabledelta.h"
 #include "presence/vmgroups.h"
 #include "rows/rowwatch.h"
 
@@ -24,7 +24,7 @@
 struct PresenceTools {
     EventLoop *loop = nullptr;
     std::shared_ptr<rows::RowStore> store;
-    std::shared_ptr<Datagrams> datagrams;
+    std::shared_ptr<DatagramSocket> socket;
     std::shared_ptr<eventlog::EventLog> log;
     std::string instance;
     std::string zone;
@@ -33,7 +33,7 @@
 };
 
 /// Who hears at once of changes in the store.
-enum class Reach {
+enum class BroadcastScope {
     Group, ///< The VMs of this one's group.
     All, ///< And one VM of each other group, which tells its own.
 };
@@ -48,7 +48,7 @@
     ~Presence();
 
     /// @p fill adds a module's part to each status that is sent.
-    void contribute(std::function<void(Status &status)> fill);
+    void addStatusContributor(std::function<void(Status &status)> fill);
     /// Called with each status that is newer than the last of its VM, or of its group: then the instance is the group's name,
     /// the incarnation that of its set of members. @p provenAt: a time of this VM's clock before the status was sent; empty
     /// if none is known.
@@ -57,10 +57,10 @@
     /// Called when the VMs have been divided into other groups: sums heard before do not compare with those to come.
     void onRegrouped(std::function<void()> handler);
 
-    /// With many VMs, a VM for which @p isFast holds tells what it knows of the store three times a second all the same.
-    void setFast(std::function<bool()> isFast);
+    /// With many VMs, a VM for which @p isStoreReader holds tells what it knows of the store three times a second all the same.
+    void setStoreReaderCheck(std::function<bool()> isStoreReader);
     /// Sends what is known of the store soon, to those that lack it: it has changed.
-    void sendNow(Reach reach);
+    void scheduleChangeBroadcast(BroadcastScope scope);
     /// The watch of the VMs' own rows.
     const std::shared_ptr<rows::RowWatch> &watch() const;
 
@@ -69,21 +69,21 @@
     /// The other groups, by name, with the newest summary of each; empty if all VMs are one group.
     const std::map<std::string, Peer> &groups() const;
     /// The peers and the groups that have told their state within @p age.
-    std::vector<const Peer *> heardLately(Duration age) const;
+    std::vector<const Peer *> recentlyHeard(Duration age) const;
     const std::string &group() const;
-    bool isGroupMate(const std::string &instance) const;
+    bool isInOwnGroup(const std::string &instance) const;
     /// From one full status of a group mate, or summary of another group, to the next when none is lost.
     Duration period() const;
     /// Peers that were heard within @p age.
-    std::size_t heardWithin(Duration age) const;
+    std::size_t countPeersHeardWithin(Duration age) const;
     /// VMs that have a row, this one among them; empty until the rows have been read, this one's among them.
     std::optional<std::size_t> vmCount() const;
     const std::string &instance() const;
     std::uint64_t incarnation() const;
     /// Since this process began.
-    Duration upFor() const;
+    Duration uptime() const;
     /// Since the process of @p peer began, as far as it was heard.
-    Duration upFor(const Peer &peer) const;
+    Duration uptime(const Peer &peer) const;
 
 private:
     explicit Presence(PresenceTools tools);
@@ -98,9 +98,9 @@
     void askGroups(const Status &partial);
     void tellHolder(const Status &full, const Status &partial);
     void answer(const Peer &peer);
-    void sendChanges(Reach reach);
+    void broadcastChanges(BroadcastScope scope);
     void sendTo(const Peer &peer, const Status &status, bool tellsChanges);
-    std::optional<ToldChanges> changesFor(const Peer &peer, const std::string &table, const rows::TableNews &news);
+    std::optional<TableDelta> changesFor(const Peer &peer, const std::string &table, const rows::TableNews &news);
     Status makeStatus();
     void merge(Peer &peer, Status status);
     void takeSummary(Peer &peer, Status status, std::optional<TimePoint> provenAt);
@@ -122,8 +122,8 @@
     std::string group_; ///< This VM's.
     std::map<std::string, Peer> groups_; ///< The others.
     std::map<std::string, std::vector<std::string>> members_; ///< Of the other groups, in the order in which they are asked.
-    std::size_t groupMates_ = 0;
-    Partners partners_;
+    std::size_t groupPeerCount_ = 0;
+    GroupPeerSelector peerSelector_;
     std::map<std::string, bool> silent_; ///< Peers and groups that were told to the log as lost.
     std::vector<std::function<void(Status &)>> fillers_;
     std::vector<std::function<void(const Status &, std::optional<TimePoint>)>> handlers_;
@@ -135,11 +135,11 @@
     Status own_; ///< As of the last round.
     TimePoint ownAt_;
     std::optional<Status> summary_; ///< Of this VM's group, made once a round if it is asked for.
-    std::function<bool()> isFast_;
+    std::function<bool()> isStoreReader_;
     /// By table, what its receivers know and what they are told; for one round. Empty: can't be told.
-    std::map<std::tuple<std::string, rows::StoreVersion, rows::StoreVersion>, std::optional<ToldChanges>> packed_;
+    std::map<std::tuple<std::string, rows::StoreVersion, rows::StoreVersion>, std::optional<TableDelta>> packed_;
     int round_ = 0;
-    std::optional<Reach> sendNowReach_; ///< Set while changes are about to be sent.
+    std::optional<BroadcastScope> pendingBroadcast_; ///< Set while changes are about to be sent.
     TimerId timer_ = 0;
 };
 
--- a/src/presence/presencemodule.cpp
+++ b/src/presence/presencemodule.cpp
@@ -3,9 +3,9 @@
 #include "kernel/runtime.h"
 #include "manifest/manifestkeeper.h"
 #include "metrics/metrics.h"
+#include "presence/clusterclock.h"
 #include "presence/presence.h"
 #include "presence/tablerelay.h"
-#include "presence/truetime.h"
 #include "settings/settingstypes.h"
 
 #include <random>
@@ -59,13 +59,13 @@
         tools.zone = settings->zone;
         tools.endpoint = {settings->routes->address, settings->routes->firstPeerPort};
         tools.incarnation = drawIncarnation();
-        BOOST_OUTCOME_TRY(datagrams, UdpDatagrams::open(*tools.loop, tools.endpoint));
-        tools.datagrams = datagrams;
+        BOOST_OUTCOME_TRY(datagrams, UdpDatagramSocket::open(*tools.loop, tools.endpoint));
+        tools.socket = datagrams;
         EventLoop *loop = tools.loop;
         const auto presence = Presence::start(std::move(tools));
         context.set(presence);
         addGauges(*context.get<metrics::Metrics>(), presence);
-        context.set(TrueTime::create(*loop, context.get<rows::RowStore>(), presence));
+        context.set(ClusterClock::create(*loop, context.get<rows::RowStore>(), presence));
         relayTables(context, *loop, presence);
         tellManifest(presence, context.get<manifest::ManifestKeeper>());
         return success();
@@ -76,12 +76,13 @@
     {
         // 0 until all rows have been read.
         metrics.gauge("entry_vms_listed", [presence] { return static_cast<double>(presence->vmCount().value_or(0)); });
-        metrics.gauge("entry_vms_heard", [presence] { return static_cast<double>(presence->heardWithin(HeardWithin)); });
+        metrics.gauge("entry_vms_heard", [presence] { return static_cast<double>(presence->countPeersHeardWithin(HeardWithin)); });
     }
 
     static void tellManifest(const std::shared_ptr<Presence> &presence, const std::shared_ptr<manifest::ManifestKeeper> &manifests)
     {
-        presence->contribute([manifests](Status &status) { status.manifestVersion = manifests->current() ? manifests->current()->manifest().version : 0; });
+        presence->addStatusContributor(
+            [manifests](Status &status) { status.manifestVersion = manifests->current() ? manifests->current()->manifest().version : 0; });
         presence->onStatus([manifests](const Status &status, std::optional<TimePoint>) { manifests->noteElsewhere(status.manifestVersion); });
     }
 
--- a/src/presence/presencetypes.h
+++ b/src/presence/presencetypes.h
@@ -17,7 +17,7 @@
 struct CustomerDemand {
     std::uint64_t customer = 0; ///< nameHash() of the customer.
     double perSecond = 0; ///< In the unit of its allowance.
-    double taken = 0; ///< All that was let through since the process began.
+    double admittedTotal = 0; ///< All that was let through since the process began.
 };
 
 /// Requests of a customer that began to run in a window of time, sent by one entry VM.
@@ -42,7 +42,7 @@
     std::uint64_t service = 0; ///< nameHash() of the service.
     double promptTokensPerSecond = 0;
     std::uint32_t open = 0; ///< Requests that are being answered.
-    double lateness = 0; ///< Time to the first byte over the route's goal, averaged over the last answers.
+    double latencyRatio = 0; ///< Time to the first byte over the route's goal, averaged over the last answers.
     double answersPerSecond = 0;
 };
 
@@ -75,7 +75,7 @@
 };
 
 /// What one entry VM knows of a rollout that is not over.
-struct RolloutNews {
+struct RolloutReport {
     std::uint64_t service = 0; ///< nameHash() of the service.
     rows::StoreVersion order; ///< Which rollout.
     std::vector<RolloutCounts> counts;
@@ -87,28 +87,28 @@
     std::string instance;
     std::uint64_t incarnation = 0; ///< Of its process: another one after a restart.
     std::uint64_t sequence = 0;
-    Duration upFor{0}; ///< Since its process began.
+    Duration uptime{0}; ///< Since its process began.
     std::map<std::string, rows::TableNews> tables; ///< What it knows of the store's tables.
     std::uint64_t manifestVersion = 0; ///< Of the manifest in force there; 0: none.
-    std::optional<Duration> storeBack; ///< Time since the store was away for it; empty if it was not lately.
+    std::optional<Duration> sinceStoreOutage; ///< Time since the store was away for it; empty if it was not lately.
     std::optional<Duration> clockOffset; ///< Its time of day less the store's clock.
     std::vector<CustomerDemand> demands;
     std::vector<UsageCount> usage;
     std::vector<ServerOutcomes> outcomes;
     std::vector<ServiceLoad> services;
     std::vector<PrefixUse> prefixes; ///< Of the last seconds.
-    std::vector<ServerWork> works; ///< Servers where work waits.
+    std::vector<ServerWork> serverWork; ///< Servers where work waits.
     std::vector<ServerLimit> limits; ///< Servers that have named a limit, or ended one.
     std::vector<std::uint64_t> suspects; ///< Hashes of requests that crash servers.
-    std::vector<RolloutNews> rollouts; ///< Those that are not over.
+    std::vector<RolloutReport> rollouts; ///< Those that are not over.
     bool holdsLease = false;
-    bool lacksStore = false; ///< Its calls for the lease fail: it is not the one to take it.
-    bool isFast = false; ///< It follows the store for others, and tells them of it in each round.
+    bool isStoreUnavailable = false; ///< Its calls for the lease fail: it is not the one to take it.
+    bool isStoreReader = false; ///< It follows the store for others, and tells them of it in each round.
     bool isDraining = false;
-    bool isPartial = false; ///< Holds only tables and storeBack; the rest is as the sender told it last.
-    bool asksSummary = false; ///< The receiver shall answer with the summary of its group.
+    bool isPartial = false; ///< Holds only tables and sinceStoreOutage; the rest is as the sender told it last.
+    bool requestsSummary = false; ///< The receiver shall answer with the summary of its group.
     std::string summaryOf; ///< The group whose sums these are; empty: of one VM.
-    std::uint64_t members = 0; ///< Of a summary: the processes it sums up, as one hash.
+    std::uint64_t membersHash = 0; ///< Of a summary: the processes it sums up, as one hash.
     std::string leaseHolder; ///< Of a summary: the VM of the group that holds the duty lease, if one does.
 };
 
--- a/src/presence/toldchanges.h
+++ b/src/presence/tabledelta.h
@@ -9,7 +9,7 @@
 
 /// All changes of a table that came after one version, up to another. That stays true, so it may be kept and told beside a
 /// later status of the same version.
-struct ToldChanges {
+struct TableDelta {
     rows::StoreVersion since;
     rows::StoreVersion version;
     std::string packed; ///< By packChanges().
@@ -18,6 +18,6 @@
 
 /// What a VM is to be told that knows all changes up to @p has. Empty if @p news does not hold all that came after, or if
 /// they are too large for a datagram.
-std::optional<ToldChanges> changesAfter(const rows::TableNews &news, rows::StoreVersion has);
+std::optional<TableDelta> deltaSince(const rows::TableNews &news, rows::StoreVersion has);
 
 } // namespace cardamomlift::presence
--- a/src/presence/tablerelay.h
+++ b/src/presence/tablerelay.h
@@ -22,7 +22,7 @@
     /// meanwhile.
     void onOutage(std::function<void(TimePoint backAt)> handler);
     /// True if this VM is one of those that follow the store.
-    bool follows() const;
+    bool isStoreReader() const;
 
 private:
     struct Entry {
@@ -33,10 +33,10 @@
     };
     TableRelay(EventLoop &loop, std::shared_ptr<Presence> presence);
     /// True if a VM that follows the store was heard lately.
-    bool hearsAFollower() const;
-    Duration followerHeardWithin() const;
+    bool hearsStoreReader() const;
+    Duration storeReaderTimeout() const;
     /// True if @p peer, a VM or a group, is one that may follow the store.
-    bool mayFollow(const Peer &peer) const;
+    bool mayBeStoreReader(const Peer &peer) const;
     bool isSource(const Status &status) const;
     bool bringsNews(const Status &status) const;
     bool lacksChange(const rows::RowWatch &watch) const;
--- a/src/presence/tests/presence_test.cpp
+++ b/src/presence/tests/presence_test.cpp
@@ -1,7 +1,7 @@
+#include "presence/clusterclock.h"
 #include "presence/presence.h"
 #include "presence/statusformat.h"
 #include "presence/tests/testnetwork.h"
-#include "presence/truetime.h"
 #include "rows/memoryrowstore.h"
 
 #include <gtest/gtest.h>
@@ -32,7 +32,7 @@
         tools.zone = "zone";
         tools.endpoint = {"10.0.0." + instance, 7600};
         tools.incarnation = incarnation;
-        tools.datagrams = std::make_shared<TestDatagrams>(network_, tools.endpoint);
+        tools.socket = std::make_shared<TestDatagrams>(network_, tools.endpoint);
         return Presence::start(std::move(tools));
     }
 
@@ -59,8 +59,8 @@
     const auto three = start("3", 3000);
     pass(seconds(1));
     EXPECT_EQ(one->vmCount(), 3U);
-    EXPECT_EQ(one->heardWithin(milliseconds(500)), 2U);
-    EXPECT_EQ(three->heardWithin(milliseconds(500)), 2U);
+    EXPECT_EQ(one->countPeersHeardWithin(milliseconds(500)), 2U);
+    EXPECT_EQ(three->countPeersHeardWithin(milliseconds(500)), 2U);
 }
 
 TEST_F(PresenceTest, AProofIsNeverLaterThanTheSendingOfTheStatus)
@@ -138,7 +138,7 @@
     message.status.sequence = 2;
     message.status.tables["t"] = {{6, 3}, {6, 2}, {{"key", "value", {6, 3}, true}}, milliseconds(4), std::nullopt, 3};
     message.status.manifestVersion = 51;
-    message.status.storeBack = milliseconds(9);
+    message.status.sinceStoreOutage = milliseconds(9);
     message.status.clockOffset = milliseconds(-5);
     message.status.demands = {{1, 2.5, 3.5}};
     message.status.usage = {{4, 5, 6}};
@@ -147,7 +147,7 @@
     message.status.suspects = {12};
     message.status.limits = {{13, true, 1.1, milliseconds(200)}, {14, true, 0, milliseconds(0)}, {15, false, 0, milliseconds(7)}};
     message.status.holdsLease = true;
-    const auto read = decodeStatus(encodeStatus(message.status, 7, {{"t", ToldChanges{{6, 2}, {6, 3}, packChanges(message.status.tables["t"].changes), 77}}}));
+    const auto read = decodeStatus(encodeStatus(message.status, 7, {{"t", TableDelta{{6, 2}, {6, 3}, packChanges(message.status.tables["t"].changes), 77}}}));
     ASSERT_TRUE(read);
     EXPECT_EQ(read->echo, 7U);
     EXPECT_EQ(read->status.manifestVersion, 51U);
@@ -159,9 +159,9 @@
     EXPECT_EQ(read->status.tables.at("t").changes[0].version, (rows::StoreVersion{6, 3}));
     EXPECT_EQ(read->status.tables.at("t").changes[0].key, "key");
     EXPECT_TRUE(read->status.tables.at("t").changes[0].isDeleted);
-    EXPECT_EQ(read->status.storeBack, message.status.storeBack);
+    EXPECT_EQ(read->status.sinceStoreOutage, message.status.sinceStoreOutage);
     EXPECT_EQ(read->status.clockOffset, message.status.clockOffset);
-    EXPECT_EQ(read->status.demands[0].taken, 3.5);
+    EXPECT_EQ(read->status.demands[0].admittedTotal, 3.5);
     EXPECT_EQ(read->status.usage[0].count, 6U);
     ASSERT_EQ(read->status.outcomes.size(), 1U);
     EXPECT_EQ(read->status.outcomes[0].server, 7U);
@@ -216,11 +216,11 @@
     EXPECT_TRUE(none->empty()) << "nothing has changed, which is worth telling";
 }
 
-TEST(TrueTime, MostClocksDecide)
+TEST(ClusterClock, MostClocksDecide)
 {
-    EXPECT_FALSE(agreedOffset({}));
-    EXPECT_EQ(agreedOffset({seconds(100), seconds(100), seconds(103)}), Duration(seconds(100)));
-    EXPECT_EQ(agreedOffset({seconds(97), seconds(100), seconds(100), seconds(100), seconds(103)}), Duration(seconds(100)));
+    EXPECT_FALSE(medianOffset({}));
+    EXPECT_EQ(medianOffset({seconds(100), seconds(100), seconds(103)}), Duration(seconds(100)));
+    EXPECT_EQ(medianOffset({seconds(97), seconds(100), seconds(100), seconds(100), seconds(103)}), Duration(seconds(100)));
 }
 
 } // namespace
--- a/src/presence/tests/restoredstore_test.cpp
+++ b/src/presence/tests/restoredstore_test.cpp
@@ -7,7 +7,7 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-/// How much later than the others the VMs that follow the store reach it again.
+/// How much later than the others the VMs that follow the store scope it again.
 class RestoredStoreTest : public TableRelayTest, public testing::WithParamInterface<int>
 {
 protected:
@@ -15,7 +15,7 @@
     {
         std::vector<Vm *> result;
         for (const auto &vm : vms_) {
-            if (vm->relay->follows()) {
+            if (vm->relay->isStoreReader()) {
                 result.push_back(vm.get());
             }
         }
@@ -71,7 +71,7 @@
     });
     EXPECT_EQ(rows_->read("entry-vms", "", 1000).rows.size(), 9U);
     for (const auto &vm : vms_) {
-        EXPECT_EQ(vm->presence->heardWithin(seconds(1)), 8U) << vm->presence->instance();
+        EXPECT_EQ(vm->presence->countPeersHeardWithin(seconds(1)), 8U) << vm->presence->instance();
     }
 }
 
--- a/src/presence/tests/tablerelay_test.cpp
+++ b/src/presence/tests/tablerelay_test.cpp
@@ -92,7 +92,7 @@
     start(90, 3);
     pass(seconds(5));
     for (const auto &vm : vms_) {
-        if (vm->relay->follows()) {
+        if (vm->relay->isStoreReader()) {
             vm->datagrams->isCut = true;
             vm->store->faults.silent = true;
         }
@@ -170,7 +170,7 @@
     start(8);
     pass(seconds(5));
     for (const auto &vm : vms_) {
-        vm->store->faults.down = vm->relay->follows();
+        vm->store->faults.down = vm->relay->isStoreReader();
     }
     pass(seconds(5));
     put("a", "1");
@@ -184,7 +184,7 @@
     pass(seconds(5));
     std::vector<Vm *> left;
     for (const auto &vm : vms_) {
-        if (vm->relay->follows()) {
+        if (vm->relay->isStoreReader()) {
             vm->datagrams->isCut = true;
             vm->store->faults.silent = true;
         } else {
--- a/src/presence/tests/tablerelaytest.h
+++ b/src/presence/tests/tablerelaytest.h
@@ -59,7 +59,7 @@
         tools.endpoint = {"10.0.0.1", static_cast<std::uint16_t>(1000 + index)};
         tools.incarnation = incarnation;
         vm.datagrams = std::make_shared<TestDatagrams>(network_, tools.endpoint);
-        tools.datagrams = vm.datagrams;
+        tools.socket = vm.datagrams;
         vm.presence = Presence::start(std::move(tools));
         rows::WatchHandlers handlers;
         handlers.onAll = [&vm](const rows::WholeTable &whole) {
@@ -122,7 +122,7 @@
 
     std::size_t following() const
     {
-        return static_cast<std::size_t>(std::count_if(vms_.begin(), vms_.end(), [](const auto &vm) { return vm->relay->follows(); }));
+        return static_cast<std::size_t>(std::count_if(vms_.begin(), vms_.end(), [](const auto &vm) { return vm->relay->isStoreReader(); }));
     }
 
     /// Text that can't be packed into less.
--- a/src/presence/tests/testnetwork.h
+++ b/src/presence/tests/testnetwork.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "presence/datagrams.h"
+#include "presence/datagramsocket.h"
 
 #include <map>
 #include <random>
@@ -50,14 +50,14 @@
     std::size_t sentBytes = 0;
     std::size_t sentCount = 0;
     std::vector<std::pair<http1::Endpoint, std::string>> held;
-    std::map<http1::Endpoint, Datagrams::Handler> handlers;
+    std::map<http1::Endpoint, DatagramSocket::Handler> handlers;
 
 private:
     std::mt19937 random_{1};
 };
 
 /// One VM's end of a TestNetwork.
-class TestDatagrams : public Datagrams
+class TestDatagrams : public DatagramSocket
 {
 public:
     TestDatagrams(TestNetwork &network, http1::Endpoint endpoint)
--- a/src/presence/tests/vmgroups_test.cpp
+++ b/src/presence/tests/vmgroups_test.cpp
@@ -49,9 +49,9 @@
         tools.endpoint = {"10.0.0.1", static_cast<std::uint16_t>(1000 + index)};
         tools.incarnation = 1'000'000 * (index + 1);
         vm.datagrams = std::make_shared<TestDatagrams>(network_, tools.endpoint);
-        tools.datagrams = vm.datagrams;
+        tools.socket = vm.datagrams;
         vm.presence = Presence::start(std::move(tools));
-        vm.presence->contribute([this, &vm](Status &status) {
+        vm.presence->addStatusContributor([this, &vm](Status &status) {
             status.demands.push_back({Customer, 100, taken()});
             status.usage.push_back({1, Customer, 3});
             status.holdsLease = vm.holdsLease;
@@ -81,9 +81,9 @@
     double knownPart(const Vm &vm, Duration age) const
     {
         double sum = 0;
-        for (const Peer *peer : vm.presence->heardLately(age)) {
+        for (const Peer *peer : vm.presence->recentlyHeard(age)) {
             for (const CustomerDemand &demand : peer->status->demands) {
-                sum += demand.taken;
+                sum += demand.admittedTotal;
             }
         }
         return sum / (taken() * static_cast<double>(vms_.size() - 1));
@@ -108,7 +108,7 @@
 {
     for (const std::size_t vms : {25U, 90U, 295U, 380U, 1000U, 3000U}) {
         for (const std::size_t zones : {1U, 3U, 6U, 11U}) {
-            const std::size_t groups = layoutFor(vms, zones).perZone * zones;
+            const std::size_t groups = layoutFor(vms, zones).groupsPerZone * zones;
             const double contacts = static_cast<double>(vms) / static_cast<double>(groups) + 2 * static_cast<double>(groups);
             EXPECT_LT(contacts, 4.2 * std::sqrt(static_cast<double>(vms)) + 2 * static_cast<double>(zones)) << vms << " VMs in " << zones << " zones";
         }
@@ -125,29 +125,29 @@
     Status one;
     one.instance = "one";
     one.incarnation = 1;
-    one.upFor = seconds(5);
+    one.uptime = seconds(5);
     one.demands = {{Customer, 10, 1000}};
     one.outcomes = {{9, 2, 1, 2, milliseconds(400), milliseconds(900)}};
     one.services = {{5, 100, 3, 0.5, 10}};
     Status two = one;
     two.instance = "two";
     two.holdsLease = true;
-    two.upFor = seconds(9);
+    two.uptime = seconds(9);
     two.outcomes = {{9, 4, 1, 0, milliseconds(0), milliseconds(600)}};
     two.services = {{5, 300, 1, 1.5, 30}};
     const Status sum = summarize("g", std::vector<MemberStatus>{{&one, milliseconds(100)}, {&two, milliseconds(0)}});
     EXPECT_EQ(sum.summaryOf, "g");
-    EXPECT_DOUBLE_EQ(sum.demands.at(0).taken, 2000);
+    EXPECT_DOUBLE_EQ(sum.demands.at(0).admittedTotal, 2000);
     EXPECT_EQ(sum.leaseHolder, "two");
-    EXPECT_EQ(sum.upFor, seconds(9));
+    EXPECT_EQ(sum.uptime, seconds(9));
     EXPECT_DOUBLE_EQ(sum.outcomes.at(0).answered, 6);
     // Its failures came after the last answer that any member had.
     EXPECT_EQ(sum.outcomes.at(0).failedInARow, 2);
     EXPECT_EQ(sum.outcomes.at(0).sinceFailure, milliseconds(500));
     EXPECT_EQ(sum.outcomes.at(0).sinceAnswer, milliseconds(600));
-    EXPECT_DOUBLE_EQ(sum.services.at(0).lateness, 1.25);
+    EXPECT_DOUBLE_EQ(sum.services.at(0).latencyRatio, 1.25);
     two.incarnation = 2;
-    EXPECT_NE(summarize("g", std::vector<MemberStatus>{{&one, milliseconds(0)}, {&two, milliseconds(0)}}).members, sum.members);
+    EXPECT_NE(summarize("g", std::vector<MemberStatus>{{&one, milliseconds(0)}, {&two, milliseconds(0)}}).membersHash, sum.membersHash);
 }
 
 TEST(StatusSummary, KeepsTheNewestWordOnEachServersLimit)
--- a/src/presence/vmgroups.h
+++ b/src/presence/vmgroups.h
@@ -10,7 +10,7 @@
 /// How the entry VMs of a deployment are divided into groups. The VMs of a group tell each other all; of the other groups
 /// each VM knows the sums, so that what a VM sends and hears grows with the square root of the number of VMs.
 struct GroupLayout {
-    std::size_t perZone = 0; ///< Groups in each zone, a power of two; 0: all VMs are one group.
+    std::size_t groupsPerZone = 0; ///< Groups in each zone, a power of two; 0: all VMs are one group.
 
     bool operator==(const GroupLayout &) const = default;
 };
@@ -24,6 +24,6 @@
 std::string groupOf(const GroupLayout &layout, std::string_view instance, std::string_view zone);
 
 /// Each VM asks the VM of the highest rank in each other group for its sums: as many ask one VM as another.
-std::uint64_t partnerRank(std::string_view asking, std::string_view asked);
+std::uint64_t rendezvousRank(std::string_view asking, std::string_view asked);
 
 } // namespace cardamomlift::presence
--- a/src/rollout/internal/rolloutkeeper.cpp
+++ b/src/rollout/internal/rolloutkeeper.cpp
@@ -344,7 +344,7 @@
         if (!isUnderWay(service)) {
             continue;
         }
-        presence::RolloutNews news;
+        presence::RolloutReport news;
         news.service = presence::nameHash(service);
         news.order = state.countedFor;
         news.counts = toTold(state.own);
@@ -355,7 +355,7 @@
 
 void RolloutKeeper::takeStatus(const presence::Status &status)
 {
-    for (const presence::RolloutNews &news : status.rollouts) {
+    for (const presence::RolloutReport &news : status.rollouts) {
         for (auto &[service, state] : services_) {
             if (presence::nameHash(service) == news.service && news.order == state.countedFor) {
                 state.told[{status.instance, status.incarnation}] = {fromTold(news.counts), news.openAtOthers, tools_.loop->now()};
--- a/src/rollout/rolloutjudgemodule.cpp
+++ b/src/rollout/rolloutjudgemodule.cpp
@@ -1,7 +1,7 @@
 #include "forwarding/forwarder.h"
 #include "kernel/module.h"
 #include "kernel/runtime.h"
-#include "presence/truetime.h"
+#include "presence/clusterclock.h"
 #include "rollout/rolloutjudge.h"
 #include "rollout/rolloutkeeper.h"
 
@@ -43,7 +43,7 @@
         tools.orders = context.get<OrderBook>();
         tools.directory = context.get<directory::Directory>();
         tools.log = context.get<eventlog::EventLog>();
-        tools.storeNow = [time = context.get<presence::TrueTime>()] {
+        tools.storeNow = [time = context.get<presence::ClusterClock>()] {
             return time->storeNow();
         };
         tools.format = *context.get<StatusFormat>();
--- a/src/rollout/rolloutmodule.cpp
+++ b/src/rollout/rolloutmodule.cpp
@@ -1,8 +1,8 @@
 #include "kernel/module.h"
 #include "kernel/runtime.h"
+#include "presence/clusterclock.h"
 #include "presence/presence.h"
 #include "presence/tablerelay.h"
-#include "presence/truetime.h"
 #include "rollout/rolloutjudge.h"
 #include "rollout/rolloutkeeper.h"
 #include "rows/rowwatch.h"
@@ -55,7 +55,7 @@
         context.set(keeper_);
         context.set<forwarding::VersionGate>(keeper_);
         watchRecords(context);
-        presence_->contribute([keeper = keeper_](presence::Status &status) { keeper->fill(status); });
+        presence_->addStatusContributor([keeper = keeper_](presence::Status &status) { keeper->fill(status); });
         presence_->onStatus([keeper = keeper_](const presence::Status &status, std::optional<TimePoint>) { keeper->takeStatus(status); });
         loop_->every(TickPeriod, [this] {
             keeper_->tick();
@@ -82,21 +82,21 @@
         tools.directory = context.get<directory::Directory>();
         tools.log = context.get<eventlog::EventLog>();
         tools.metrics = context.get<metrics::Metrics>();
-        tools.storeNow = [time = context.get<presence::TrueTime>()] {
+        tools.storeNow = [time = context.get<presence::ClusterClock>()] {
             return time->storeNow();
         };
         tools.vmCount = [presence = presence_] {
             return presence->vmCount();
         };
         tools.upFor = [presence = presence_] {
-            return presence->upFor();
+            return presence->uptime();
         };
         tools.recordsConfirmedAt = [this] {
             return watch_ ? watch_->confirmedAt() : std::nullopt;
         };
         tools.hearsJudge = [presence = presence_, &context] {
             const auto lease = context.find<duties::DutyLease>();
-            const auto heard = presence->heardLately(std::max(JudgeHeardWithin, presence->period() * 2));
+            const auto heard = presence->recentlyHeard(std::max(JudgeHeardWithin, presence->period() * 2));
             return (lease && lease->mayAct()) || std::any_of(heard.begin(), heard.end(), [](const presence::Peer *peer) { return peer->status->holdsLease; });
         };
         return tools;
--- a/src/serverlimits/serverlimitsmodule.cpp
+++ b/src/serverlimits/serverlimitsmodule.cpp
@@ -1,8 +1,8 @@
 #include "kernel/module.h"
 #include "kernel/runtime.h"
 #include "metrics/metrics.h"
+#include "presence/clusterclock.h"
 #include "presence/presence.h"
-#include "presence/truetime.h"
 #include "serverlimits/serverlimitkeeper.h"
 
 namespace cardamomlift::serverlimits {
@@ -52,7 +52,7 @@
         tools.directory = context.get<directory::Directory>();
         tools.log = context.get<eventlog::EventLog>();
         tools.instance = presence->instance();
-        tools.storeNow = [time = context.get<presence::TrueTime>()] {
+        tools.storeNow = [time = context.get<presence::ClusterClock>()] {
             return time->storeNow();
         };
         tools.vms = [presence] {
@@ -61,7 +61,7 @@
         EventLoop *loop = tools.loop;
         const auto keeper = ServerLimitKeeper::create(std::move(tools));
         context.set<forwarding::ServerLimitGate>(keeper);
-        presence->contribute([keeper](presence::Status &status) { status.limits = keeper->told(); });
+        presence->addStatusContributor([keeper](presence::Status &status) { status.limits = keeper->told(); });
         presence->onStatus([keeper](const presence::Status &status, std::optional<TimePoint>) { keeper->takeTold(status.instance, status.limits); });
         loop->every(TickPeriod, [keeper] { keeper->tick(); });
         context.get<metrics::Metrics>()->gauge("servers_limited", [keeper] { return static_cast<double>(keeper->limitedServers()); });
--- a/src/usage/internal/usagecounter.cpp
+++ b/src/usage/internal/usagecounter.cpp
@@ -13,18 +13,18 @@
 
 } // namespace
 
-UsageCounter::UsageCounter(std::shared_ptr<presence::Presence> presence, std::shared_ptr<presence::TrueTime> time, Duration window)
+UsageCounter::UsageCounter(std::shared_ptr<presence::Presence> presence, std::shared_ptr<presence::ClusterClock> time, Duration window)
     : presence_(std::move(presence))
     , time_(std::move(time))
     , window_(window)
 {
 }
 
-std::shared_ptr<UsageCounter> UsageCounter::create(std::shared_ptr<presence::Presence> presence, std::shared_ptr<presence::TrueTime> time, Duration window)
+std::shared_ptr<UsageCounter> UsageCounter::create(std::shared_ptr<presence::Presence> presence, std::shared_ptr<presence::ClusterClock> time, Duration window)
 {
     std::shared_ptr<UsageCounter> counter(new UsageCounter(std::move(presence), std::move(time), window));
     const std::weak_ptr<UsageCounter> weak = counter;
-    counter->presence_->contribute([weak](presence::Status &status) {
+    counter->presence_->addStatusContributor([weak](presence::Status &status) {
         if (const auto self = weak.lock()) {
             self->fill(status);
         }
--- a/src/usage/usagecounter.h
+++ b/src/usage/usagecounter.h
@@ -1,8 +1,8 @@
 #pragma once
 
 #include "forwarding/customerhooks.h"
+#include "presence/clusterclock.h"
 #include "presence/presence.h"
-#include "presence/truetime.h"
 
 #include <map>
 #include <memory>
@@ -18,7 +18,7 @@
 class UsageCounter : public forwarding::UsageMeter, public std::enable_shared_from_this<UsageCounter>
 {
 public:
-    static std::shared_ptr<UsageCounter> create(std::shared_ptr<presence::Presence> presence, std::shared_ptr<presence::TrueTime> time, Duration window);
+    static std::shared_ptr<UsageCounter> create(std::shared_ptr<presence::Presence> presence, std::shared_ptr<presence::ClusterClock> time, Duration window);
     void noteStarted(const std::string &customer) override;
 
     /// The window of true time now; empty while the time is not known.
@@ -36,12 +36,12 @@
         // NOLINTNEXTLINE(modernize-use-nullptr): a false finding on a defaulted comparison.
         auto operator<=>(const Source &) const = default;
     };
-    UsageCounter(std::shared_ptr<presence::Presence> presence, std::shared_ptr<presence::TrueTime> time, Duration window);
+    UsageCounter(std::shared_ptr<presence::Presence> presence, std::shared_ptr<presence::ClusterClock> time, Duration window);
     void fill(presence::Status &status);
     void takeStatus(const presence::Status &status);
     void dropOld();
     std::shared_ptr<presence::Presence> presence_;
-    std::shared_ptr<presence::TrueTime> time_;
+    std::shared_ptr<presence::ClusterClock> time_;
     Duration window_;
     std::map<std::int64_t, CustomerCounts> own_;
     std::map<std::int64_t, std::map<Source, CustomerCounts>> others_;
--- a/src/usage/usagemodule.cpp
+++ b/src/usage/usagemodule.cpp
@@ -27,7 +27,7 @@
     Result<void> start(Context &context) override
     {
         const Duration window = context.get<settings::Settings>()->routes->usageWindow;
-        const auto counter = UsageCounter::create(context.get<presence::Presence>(), context.get<presence::TrueTime>(), window);
+        const auto counter = UsageCounter::create(context.get<presence::Presence>(), context.get<presence::ClusterClock>(), window);
         context.set(counter);
         context.set<forwarding::UsageMeter>(counter);
         return success();
