--- a/src/allowance/allowancekeeper.h
+++ b/src/allowance/allowancelimiter.h
@@ -11,15 +11,15 @@
 namespace cardamomlift::allowance {
 
 /// Keeps customers' allowances over all entry VMs, by what each VM tells the others.
-class AllowanceKeeper : public forwarding::AllowanceGate, public std::enable_shared_from_this<AllowanceKeeper>
+class AllowanceLimiter : public forwarding::AllowanceGate, public std::enable_shared_from_this<AllowanceLimiter>
 {
 public:
-    static std::shared_ptr<AllowanceKeeper> create(EventLoop &loop, std::shared_ptr<presence::Presence> presence);
+    static std::shared_ptr<AllowanceLimiter> create(EventLoop &loop, std::shared_ptr<presence::Presence> presence);
     forwarding::AllowanceVerdict take(const manifest::Customer &customer, std::int64_t amount) override;
     void giveBack(const manifest::Customer &customer, std::int64_t amount) override;
 
 private:
-    AllowanceKeeper(EventLoop &loop, std::shared_ptr<presence::Presence> presence);
+    AllowanceLimiter(EventLoop &loop, std::shared_ptr<presence::Presence> presence);
     Account &account(const std::string &customer);
     Account &accountOf(std::uint64_t customer);
     void fill(presence::Status &status);
--- a/src/allowance/allowancemodule.cpp
+++ b/src/allowance/allowancemodule.cpp
@@ -1,4 +1,4 @@
-#include "allowance/allowancekeeper.h"
+#include "allowance/allowancelimiter.h"
 #include "kernel/module.h"
 #include "kernel/runtime.h"
 
@@ -26,7 +26,7 @@
 
     Result<void> start(Context &context) override
     {
-        context.set<forwarding::AllowanceGate>(AllowanceKeeper::create(*context.get<Runtime>()->loop, context.get<presence::Presence>()));
+        context.set<forwarding::AllowanceGate>(AllowanceLimiter::create(*context.get<Runtime>()->loop, context.get<presence::Presence>()));
         return success();
     }
 };
--- a/src/allowance/internal/allowancekeeper.cpp
+++ b/src/allowance/internal/allowancelimiter.cpp
@@ -1,4 +1,4 @@
-#include "allowance/allowancekeeper.h"
+#include "allowance/allowancelimiter.h"
 
 #include "allowance/allowancerules.h"
 
@@ -14,17 +14,17 @@
 
 } // namespace
 
-AllowanceKeeper::AllowanceKeeper(EventLoop &loop, std::shared_ptr<presence::Presence> presence)
+AllowanceLimiter::AllowanceLimiter(EventLoop &loop, std::shared_ptr<presence::Presence> presence)
     : loop_(loop)
     , presence_(std::move(presence))
     , startedAt_(loop.now())
 {
 }
 
-std::shared_ptr<AllowanceKeeper> AllowanceKeeper::create(EventLoop &loop, std::shared_ptr<presence::Presence> presence)
+std::shared_ptr<AllowanceLimiter> AllowanceLimiter::create(EventLoop &loop, std::shared_ptr<presence::Presence> presence)
 {
-    std::shared_ptr<AllowanceKeeper> keeper(new AllowanceKeeper(loop, std::move(presence)));
-    const std::weak_ptr<AllowanceKeeper> weak = keeper;
+    std::shared_ptr<AllowanceLimiter> keeper(new AllowanceLimiter(loop, std::move(presence)));
+    const std::weak_ptr<AllowanceLimiter> weak = keeper;
     keeper->presence_->contribute([weak](presence::Status &status) {
         if (const auto self = weak.lock()) {
             self->fill(status);
@@ -43,13 +43,13 @@
     return keeper;
 }
 
-Account &AllowanceKeeper::account(const std::string &customer)
+Account &AllowanceLimiter::account(const std::string &customer)
 {
     return accountOf(presence::nameHash(customer));
 }
 
 // Nothing was taken here before the first request, so its bucket fills from the start of the process.
-Account &AllowanceKeeper::accountOf(std::uint64_t customer)
+Account &AllowanceLimiter::accountOf(std::uint64_t customer)
 {
     const auto [place, isNew] = accounts_.try_emplace(customer);
     if (isNew) {
@@ -61,7 +61,7 @@
     return place->second;
 }
 
-forwarding::AllowanceVerdict AllowanceKeeper::take(const manifest::Customer &customer, std::int64_t amount)
+forwarding::AllowanceVerdict AllowanceLimiter::take(const manifest::Customer &customer, std::int64_t amount)
 {
     const TimePoint now = loop_.now();
     Account &books = account(customer.name);
@@ -82,14 +82,14 @@
     return verdict;
 }
 
-void AllowanceKeeper::giveBack(const manifest::Customer &customer, std::int64_t amount)
+void AllowanceLimiter::giveBack(const manifest::Customer &customer, std::int64_t amount)
 {
     Account &books = account(customer.name);
     books.level += static_cast<double>(amount);
     books.taken -= static_cast<double>(amount);
 }
 
-void AllowanceKeeper::fill(presence::Status &status)
+void AllowanceLimiter::fill(presence::Status &status)
 {
     const TimePoint now = loop_.now();
     for (const auto &[customer, books] : accounts_) {
@@ -97,7 +97,7 @@
     }
 }
 
-void AllowanceKeeper::takeStatus(const presence::Status &status)
+void AllowanceLimiter::takeStatus(const presence::Status &status)
 {
     const TimePoint now = loop_.now();
     for (const presence::CustomerDemand &demand : status.demands) {
@@ -106,7 +106,7 @@
     }
 }
 
-void AllowanceKeeper::forgetPeers()
+void AllowanceLimiter::forgetPeers()
 {
     for (auto &[customer, books] : accounts_) {
         allowance::forgetPeers(books, loop_.now());
--- a/src/balancing/balancingtypes.h
+++ b/src/balancing/balancingtypes.h
@@ -11,10 +11,10 @@
 
 /// What is known of one backend server's load.
 struct ServerLoad {
-    int openHere = 0; ///< Requests that this VM has there now.
-    std::int64_t promptTokensHere = 0; ///< Of those that have not begun to answer.
-    std::int64_t promptTokensElsewhere = 0; ///< The same at the other VMs, as they told.
-    int reported = 0; ///< Running and waiting, as the server said last.
+    int localOpenRequests = 0; ///< Requests that this VM has there now.
+    std::int64_t localWaitingTokens = 0; ///< Of those that have not begun to answer.
+    std::int64_t peerWaitingTokens = 0; ///< The same at the other VMs, as they told.
+    int reportedRequests = 0; ///< Running and waiting, as the server said last.
     int sentSinceReport = 0; ///< Less those that ended since.
     std::optional<TimePoint> reportedAt;
 };
@@ -37,7 +37,7 @@
 };
 
 /// The weights of a choice. Costs are in shares of a server whose slots are all taken.
-struct ChoiceFigures {
+struct ChoiceParameters {
     /// A server's own report counts for this long; after it only what this VM has open there does.
     Duration reportLife = std::chrono::milliseconds(1500);
     /// Servers that requests of one affinity go to first while nothing is known of caches. Two: a hot prompt does not depend
--- a/src/balancing/internal/choose.cpp
+++ b/src/balancing/internal/choose.cpp
@@ -18,18 +18,18 @@
 
 /// The prompt tokens that come before this request's first token at @p candidate: those that wait there and its own. Copied
 /// tokens count as the part of read ones that they cost.
-double tokensBefore(const Candidate &candidate, const ChoiceInput &input, const ChoiceFigures &figures)
+double tokensBefore(const Candidate &candidate, const ChoiceInput &input, const ChoiceParameters &figures)
 {
     const std::int64_t known = std::max(candidate.cachedTokens, input.fetchableTokens);
     const auto read = static_cast<double>(std::max<std::int64_t>(0, input.promptTokens - known));
     const auto copied = static_cast<double>(known - candidate.cachedTokens);
-    return static_cast<double>(candidate.load.promptTokensHere + candidate.load.promptTokensElsewhere) + read + copied * figures.copiedTokenCost;
+    return static_cast<double>(candidate.load.localWaitingTokens + candidate.load.peerWaitingTokens) + read + copied * figures.copiedTokenCost;
 }
 
-double costOf(const Candidate &candidate, const ChoiceInput &input, const ChoiceFigures &figures, TimePoint now)
+double costOf(const Candidate &candidate, const ChoiceInput &input, const ChoiceParameters &figures, TimePoint now)
 {
     const double slots = std::max(1, candidate.server->server.slots);
-    double cost = estimatedOpen(candidate.load, figures, now) / slots;
+    double cost = estimatedOpenRequests(candidate.load, figures, now) / slots;
     cost += tokensBefore(candidate, input, figures) / figures.tokensOfAFullServer;
     if (candidate.isOutlier) {
         cost += figures.outlierCost;
@@ -50,31 +50,31 @@
 
 } // namespace
 
-HomeRanker::HomeRanker(std::string_view affinity)
+RendezvousRanker::RendezvousRanker(std::string_view affinity)
     : seed_(XXH3_64bits(affinity.data(), affinity.size()))
 {
 }
 
-std::uint64_t HomeRanker::rank(std::string_view instance) const
+std::uint64_t RendezvousRanker::rank(std::string_view instance) const
 {
     return XXH3_64bits_withSeed(instance.data(), instance.size(), seed_);
 }
 
-double estimatedOpen(const ServerLoad &load, const ChoiceFigures &figures, TimePoint now)
+double estimatedOpenRequests(const ServerLoad &load, const ChoiceParameters &figures, TimePoint now)
 {
-    const double known = load.openHere;
+    const double known = load.localOpenRequests;
     if (!load.reportedAt || now - *load.reportedAt > figures.reportLife) {
         return known;
     }
-    return std::max(known, static_cast<double>(load.reported + std::max(0, load.sentSinceReport)));
+    return std::max(known, static_cast<double>(load.reportedRequests + std::max(0, load.sentSinceReport)));
 }
 
-std::optional<std::size_t> choose(std::span<const Candidate> candidates, const ChoiceInput &input, const ChoiceFigures &figures, TimePoint now)
+std::optional<std::size_t> choose(std::span<const Candidate> candidates, const ChoiceInput &input, const ChoiceParameters &figures, TimePoint now)
 {
     if (candidates.empty()) {
         return std::nullopt;
     }
-    const HomeRanker ranker(input.affinity);
+    const RendezvousRanker ranker(input.affinity);
     std::vector<Ranked> ranked;
     ranked.reserve(candidates.size());
     for (std::size_t i = 0; i < candidates.size(); i++) {
--- a/src/balancing/internal/shortlist.cpp
+++ b/src/balancing/internal/shortlist.cpp
@@ -9,10 +9,10 @@
 
 namespace {
 
-void addHolders(std::vector<std::size_t> &places, std::span<const directory::ServerPtr> servers, std::span<const std::uint64_t> holders)
+void addHolders(std::vector<std::size_t> &places, std::span<const directory::ServerPtr> servers, std::span<const std::uint64_t> cachingServers)
 {
     for (std::size_t i = 0; i < servers.size(); i++) {
-        if (std::binary_search(holders.begin(), holders.end(), servers[i]->hash)) {
+        if (std::binary_search(cachingServers.begin(), cachingServers.end(), servers[i]->hash)) {
             places.push_back(i);
         }
     }
@@ -20,7 +20,7 @@
 
 void addHomes(std::vector<std::size_t> &places, std::span<const directory::ServerPtr> servers, std::string_view affinity, std::size_t most)
 {
-    const HomeRanker ranker(affinity);
+    const RendezvousRanker ranker(affinity);
     std::vector<std::pair<std::uint64_t, std::size_t>> ranked;
     ranked.reserve(servers.size());
     for (std::size_t i = 0; i < servers.size(); i++) {
@@ -42,15 +42,15 @@
 
 } // namespace
 
-std::vector<directory::ServerPtr> shortList(std::span<const directory::ServerPtr> servers, const ShortListInput &input, const ShortListFigures &figures)
+std::vector<directory::ServerPtr> shortList(std::span<const directory::ServerPtr> servers, const ShortListInput &input, const ShortListParameters &figures)
 {
-    if (servers.size() <= figures.mostWhole) {
+    if (servers.size() <= figures.samplingThreshold) {
         return {servers.begin(), servers.end()};
     }
     std::vector<std::size_t> places;
     addSample(places, servers.size(), figures.sample, input.salt);
-    if (!input.holders.empty()) {
-        addHolders(places, servers, input.holders);
+    if (!input.cachingServers.empty()) {
+        addHolders(places, servers, input.cachingServers);
     } else if (!input.affinity.empty()) {
         addHomes(places, servers, input.affinity, figures.homes);
     }
--- a/src/balancing/tests/choose_test.cpp
+++ b/src/balancing/tests/choose_test.cpp
@@ -94,20 +94,20 @@
     for (int i = 0; i < 24; i++) {
         const std::size_t server = fleet.pick("hot");
         used.insert(server);
-        fleet.loads[server].openHere++;
+        fleet.loads[server].localOpenRequests++;
     }
     EXPECT_EQ(used.size(), 4U);
     for (const ServerLoad &load : fleet.loads) {
-        EXPECT_LE(load.openHere, 9);
+        EXPECT_LE(load.localOpenRequests, 9);
     }
 }
 
 TEST(Choose, WithoutAffinityTheLeastLoadedIsTaken)
 {
     Fleet fleet(3);
-    fleet.loads[0].openHere = 3;
-    fleet.loads[1].openHere = 2;
-    fleet.loads[2].openHere = 1;
+    fleet.loads[0].localOpenRequests = 3;
+    fleet.loads[1].localOpenRequests = 2;
+    fleet.loads[2].localOpenRequests = 1;
     EXPECT_EQ(fleet.pick(""), 2U);
 }
 
@@ -124,13 +124,13 @@
 TEST(Choose, AFreshReportCountsAnOldOneDoesNot)
 {
     ServerLoad load;
-    load.reported = 8;
+    load.reportedRequests = 8;
     load.reportedAt = Now - milliseconds(200);
-    EXPECT_EQ(estimatedOpen(load, {}, Now), 8);
+    EXPECT_EQ(estimatedOpenRequests(load, {}, Now), 8);
     load.sentSinceReport = 2;
-    EXPECT_EQ(estimatedOpen(load, {}, Now), 10);
+    EXPECT_EQ(estimatedOpenRequests(load, {}, Now), 10);
     load.reportedAt = Now - std::chrono::seconds(10);
-    EXPECT_EQ(estimatedOpen(load, {}, Now), 0);
+    EXPECT_EQ(estimatedOpenRequests(load, {}, Now), 0);
 }
 
 /// A long prompt whose first 20,000 tokens server 0 keeps.
@@ -163,9 +163,9 @@
 TEST(Choose, ACachedPromptIsCopiedWhenItsServerHasMoreToReadThanTheCopyCosts)
 {
     CachedPrompt prompt;
-    prompt.fleet.loads[0].promptTokensHere = 7'000;
+    prompt.fleet.loads[0].localWaitingTokens = 7'000;
     EXPECT_EQ(prompt.pick(), 0U) << "copying 20,000 tokens costs more";
-    prompt.fleet.loads[0].promptTokensElsewhere = 3'000;
+    prompt.fleet.loads[0].peerWaitingTokens = 3'000;
     EXPECT_NE(prompt.pick(), 0U) << "what other VMs sent there waits before it too";
 }
 
@@ -173,9 +173,9 @@
 TEST(Choose, LongPromptsThatWaitCountMoreThanOpenRequests)
 {
     Fleet fleet(2);
-    fleet.loads[0].openHere = 4;
-    fleet.loads[1].openHere = 1;
-    fleet.loads[1].promptTokensHere = 40'000;
+    fleet.loads[0].localOpenRequests = 4;
+    fleet.loads[1].localOpenRequests = 1;
+    fleet.loads[1].localWaitingTokens = 40'000;
     EXPECT_EQ(fleet.pick(""), 0U);
 }
 
@@ -183,7 +183,7 @@
 {
     Fleet fleet(2);
     fleet.outliers = {0};
-    fleet.loads[1].openHere = 20;
+    fleet.loads[1].localOpenRequests = 20;
     EXPECT_EQ(fleet.pick(""), 1U);
     fleet.servers.pop_back();
     fleet.loads.pop_back();
--- a/src/balancing/tests/shortlist_test.cpp
+++ b/src/balancing/tests/shortlist_test.cpp
@@ -67,7 +67,7 @@
 TEST(ShortList, HoldsTheHomesOfAnAffinityWhateverIsDrawn)
 {
     const auto servers = serversOf(3000);
-    const HomeRanker ranker("part");
+    const RendezvousRanker ranker("part");
     const auto home = *std::max_element(
         servers.begin(), servers.end(), [&ranker](const auto &a, const auto &b) { return ranker.rank(a->server.instance) < ranker.rank(b->server.instance); });
     for (std::uint64_t salt = 0; salt < 50; salt++) {
@@ -78,9 +78,9 @@
 TEST(ShortList, HoldsTheServersThatKeepThePrompt)
 {
     const auto servers = serversOf(3000);
-    std::vector<std::uint64_t> holders{servers[5]->hash, servers[1700]->hash, servers[2999]->hash};
-    std::sort(holders.begin(), holders.end());
-    const auto list = shortList(servers, {"part", holders, 1}, {});
+    std::vector<std::uint64_t> cachingServers{servers[5]->hash, servers[1700]->hash, servers[2999]->hash};
+    std::sort(cachingServers.begin(), cachingServers.end());
+    const auto list = shortList(servers, {"part", cachingServers, 1}, {});
     for (const std::size_t place : {5U, 1700U, 2999U}) {
         EXPECT_TRUE(holds(list, servers[place]));
     }
@@ -109,7 +109,7 @@
 {
 protected:
     /// The most requests that one server had at a time.
-    int busiest(const ShortListFigures &figures) const
+    int busiest(const ShortListParameters &figures) const
     {
         constexpr std::size_t Vms = 100;
         constexpr int Steps = 250;
@@ -135,8 +135,8 @@
                     Candidate candidate;
                     candidate.server = server.get();
                     const auto mine = own[vm].find(server.get());
-                    candidate.load.openHere = mine == own[vm].end() ? 0 : mine->second;
-                    candidate.load.reported = open[server.get()];
+                    candidate.load.localOpenRequests = mine == own[vm].end() ? 0 : mine->second;
+                    candidate.load.reportedRequests = open[server.get()];
                     candidate.load.reportedAt = TimePoint(milliseconds(0));
                     candidates.push_back(candidate);
                 }
--- a/src/forwarding/internal/forwardedrequest.h
+++ b/src/forwarding/internal/forwardedrequest.h
@@ -60,10 +60,10 @@
         std::string fetchFrom; ///< "address:port" of a server to copy a part of the prompt's KV cache from; empty: none.
     };
     Choice chooseServer() const;
-    std::vector<directory::ServerPtr> shortList(std::span<const directory::ServerPtr> usable, std::span<const prefixindex::Holding> holdings) const;
-    Choice chooseAmong(std::span<const directory::KnownServer *const> servers, std::span<const prefixindex::Holding> holdings) const;
+    std::vector<directory::ServerPtr> shortList(std::span<const directory::ServerPtr> usable, std::span<const prefixindex::PrefixMatch> matches) const;
+    Choice chooseAmong(std::span<const directory::KnownServer *const> servers, std::span<const prefixindex::PrefixMatch> matches) const;
     std::uint64_t salt() const;
-    balancing::Candidate candidateOf(const directory::KnownServer &known, std::span<const prefixindex::Holding> holdings) const;
+    balancing::Candidate candidateOf(const directory::KnownServer &known, std::span<const prefixindex::PrefixMatch> matches) const;
     bool passesOver(const std::string &instance, Choice &choice) const;
     void noteSending(const std::string &instance);
     void endWithoutServer(const Choice &choice);
@@ -75,9 +75,9 @@
         directory::ServerPtr holder; ///< It; null if none keeps any.
     };
     bool mayBeSource(const directory::KnownServer &known) const;
-    Cached bestCached(std::span<const prefixindex::Holding> holdings, const std::string &except) const;
+    Cached bestCached(std::span<const prefixindex::PrefixMatch> matches, const std::string &except) const;
     directory::ServerPtr likelyHolder(const std::string &except) const;
-    void planReading(Choice &choice, std::span<const prefixindex::Holding> holdings) const;
+    void planReading(Choice &choice, std::span<const prefixindex::PrefixMatch> matches) const;
     std::string affinity() const;
     void send(const Choice &choice);
     DispatchFields dispatchFields(const Choice &choice) const;
--- a/src/forwarding/internal/forwardedrequestchoice.cpp
+++ b/src/forwarding/internal/forwardedrequestchoice.cpp
@@ -33,20 +33,20 @@
 }
 
 // A leaving server is a good source while it lasts: it keeps what its successors lack.
-ForwardedRequest::Cached ForwardedRequest::bestCached(std::span<const prefixindex::Holding> holdings, const std::string &except) const
+ForwardedRequest::Cached ForwardedRequest::bestCached(std::span<const prefixindex::PrefixMatch> matches, const std::string &except) const
 {
     Cached best;
-    for (const prefixindex::Holding &holding : holdings) {
-        if (holding.tokens == 0 || holding.tokens < best.tokens) {
+    for (const prefixindex::PrefixMatch &match : matches) {
+        if (match.tokens == 0 || match.tokens < best.tokens) {
             continue;
         }
-        directory::ServerPtr known = tools_.directory->findHashed(holding.server);
+        directory::ServerPtr known = tools_.directory->findHashed(match.server);
         if (!known || known->server.instance == except || !mayBeSource(*known)) {
             continue;
         }
         // Of equal ones the first by instance, so that it does not depend on the hashes.
-        if (holding.tokens > best.tokens || known->server.instance < best.holder->server.instance) {
-            best = {holding.tokens, std::move(known)};
+        if (match.tokens > best.tokens || known->server.instance < best.holder->server.instance) {
+            best = {match.tokens, std::move(known)};
         }
     }
     return best;
@@ -74,34 +74,34 @@
 ForwardedRequest::Choice ForwardedRequest::chooseServer() const
 {
     const auto usable = tools_.directory->usable(service_);
-    const std::vector<prefixindex::Holding> holdings = tools_.prefixes->holdings(prefixes_);
+    const std::vector<prefixindex::PrefixMatch> matches = tools_.prefixes->matches(prefixes_);
     // While a version is tried, the few servers that run it would be missed by a sample.
     const bool isVersionTried = tools_.versions && tools_.versions->isUnderWay(service_);
-    if (usable.size() > balancing::ShortListFigures().mostWhole && !isVersionTried) {
-        Choice choice = chooseAmong(eligibleServers(shortList(usable, holdings), pick_), holdings);
+    if (usable.size() > balancing::ShortListParameters().samplingThreshold && !isVersionTried) {
+        Choice choice = chooseAmong(eligibleServers(shortList(usable, matches), pick_), matches);
         choice.pick = pick_;
         if (choice.server) {
             return choice;
         }
     }
-    Choice choice = chooseAmong(eligibleServers(usable, pick_), holdings);
+    Choice choice = chooseAmong(eligibleServers(usable, pick_), matches);
     choice.pick = pick_;
     if (!choice.server && pick_ == VersionPick::OnTrial) {
-        choice = chooseAmong(eligibleServers(usable, VersionPick::Usual), holdings);
+        choice = chooseAmong(eligibleServers(usable, VersionPick::Usual), matches);
     }
     return choice;
 }
 
 std::vector<directory::ServerPtr> ForwardedRequest::shortList(
-    std::span<const directory::ServerPtr> usable, std::span<const prefixindex::Holding> holdings) const
+    std::span<const directory::ServerPtr> usable, std::span<const prefixindex::PrefixMatch> matches) const
 {
-    std::vector<std::uint64_t> holders;
-    holders.reserve(holdings.size());
-    std::transform(holdings.begin(), holdings.end(), std::back_inserter(holders), [](const auto &holding) { return holding.server; });
+    std::vector<std::uint64_t> cachingServers;
+    cachingServers.reserve(matches.size());
+    std::transform(matches.begin(), matches.end(), std::back_inserter(cachingServers), [](const auto &match) { return match.server; });
     const std::string shared = affinity();
     balancing::ShortListInput input;
     input.affinity = shared;
-    input.holders = holders;
+    input.cachingServers = cachingServers;
     input.salt = salt();
     return balancing::shortList(usable, input, {});
 }
@@ -121,21 +121,21 @@
     return true;
 }
 
-balancing::Candidate ForwardedRequest::candidateOf(const directory::KnownServer &known, std::span<const prefixindex::Holding> holdings) const
+balancing::Candidate ForwardedRequest::candidateOf(const directory::KnownServer &known, std::span<const prefixindex::PrefixMatch> matches) const
 {
     balancing::Candidate candidate;
     candidate.server = &known;
     if (const ServerEntry *entry = tools_.pool->find(known.server.instance)) {
         candidate.load = entry->load;
     }
-    candidate.load.promptTokensElsewhere = tools_.peerWork->waitingTokens(known.hash, tools_.loop->now());
+    candidate.load.peerWaitingTokens = tools_.peerWork->waitingTokens(known.hash, tools_.loop->now());
     candidate.isOutlier = tools_.outliers->isOutlier(known.hash, service_);
-    candidate.cachedTokens = prefixindex::heldTokens(holdings, known.hash);
+    candidate.cachedTokens = prefixindex::matchedTokens(matches, known.hash);
     return candidate;
 }
 
 ForwardedRequest::Choice ForwardedRequest::chooseAmong(
-    std::span<const directory::KnownServer *const> servers, std::span<const prefixindex::Holding> holdings) const
+    std::span<const directory::KnownServer *const> servers, std::span<const prefixindex::PrefixMatch> matches) const
 {
     Choice choice;
     std::vector<balancing::Candidate> candidates;
@@ -144,7 +144,7 @@
         if (passesOver(server->server.instance, choice)) {
             continue;
         }
-        candidates.push_back(candidateOf(*server, holdings));
+        candidates.push_back(candidateOf(*server, matches));
         choice.outliers += candidates.back().isOutlier ? 1 : 0;
     }
     const std::string shared = affinity();
@@ -152,14 +152,14 @@
     input.zone = tools_.settings.zone;
     input.affinity = shared;
     input.promptTokens = request_.promptTokens;
-    input.fetchableTokens = bestCached(holdings, {}).tokens;
+    input.fetchableTokens = bestCached(matches, {}).tokens;
     input.salt = salt();
     const auto chosen = balancing::choose(candidates, input, {}, tools_.loop->now());
     choice.candidates = candidates.size();
     if (chosen) {
         choice.server = tools_.directory->find(candidates[*chosen].server->server.instance);
         choice.cachedTokens = candidates[*chosen].cachedTokens;
-        planReading(choice, holdings);
+        planReading(choice, matches);
     }
     return choice;
 }
@@ -168,7 +168,7 @@
 directory::ServerPtr ForwardedRequest::likelyHolder(const std::string &except) const
 {
     const std::string shared = affinity();
-    const balancing::HomeRanker ranker(shared);
+    const balancing::RendezvousRanker ranker(shared);
     directory::ServerPtr best;
     std::uint64_t bestRank = 0;
     for (const auto &[instance, known] : tools_.directory->all()) {
@@ -184,10 +184,10 @@
     return best;
 }
 
-void ForwardedRequest::planReading(Choice &choice, std::span<const prefixindex::Holding> holdings) const
+void ForwardedRequest::planReading(Choice &choice, std::span<const prefixindex::PrefixMatch> matches) const
 {
     std::int64_t known = choice.cachedTokens;
-    const Cached elsewhere = bestCached(holdings, choice.server->server.instance);
+    const Cached elsewhere = bestCached(matches, choice.server->server.instance);
     if (elsewhere.tokens - choice.cachedTokens >= LeastFetched) {
         choice.fetchFrom = http1::formatEndpoint(elsewhere.holder->server.endpoint);
         known = elsewhere.tokens;
--- a/src/forwarding/internal/serverpool.cpp
+++ b/src/forwarding/internal/serverpool.cpp
@@ -93,28 +93,28 @@
 void ServerPool::noteSent(const std::string &instance, std::int64_t promptTokens)
 {
     balancing::ServerLoad &load = entries_[instance].load;
-    load.openHere++;
+    load.localOpenRequests++;
     load.sentSinceReport++;
-    load.promptTokensHere += promptTokens;
+    load.localWaitingTokens += promptTokens;
 }
 
 void ServerPool::noteFirstByte(const std::string &instance, std::int64_t promptTokens)
 {
     balancing::ServerLoad &load = entries_[instance].load;
-    load.promptTokensHere = std::max<std::int64_t>(0, load.promptTokensHere - promptTokens);
+    load.localWaitingTokens = std::max<std::int64_t>(0, load.localWaitingTokens - promptTokens);
 }
 
 void ServerPool::noteEnded(const std::string &instance)
 {
     balancing::ServerLoad &load = entries_[instance].load;
-    load.openHere = std::max(0, load.openHere - 1);
+    load.localOpenRequests = std::max(0, load.localOpenRequests - 1);
     load.sentSinceReport--;
 }
 
 void ServerPool::noteReport(const std::string &instance, const LoadReport &report)
 {
     balancing::ServerLoad &load = entries_[instance].load;
-    load.reported = report.running + report.waiting;
+    load.reportedRequests = report.running + report.waiting;
     load.sentSinceReport = 0;
     load.reportedAt = loop_.now();
 }
@@ -143,8 +143,8 @@
 {
     std::vector<presence::ServerWork> works;
     for (const auto &[instance, entry] : entries_) {
-        if (entry.load.promptTokensHere > 0) {
-            works.push_back({presence::nameHash(instance), entry.load.promptTokensHere});
+        if (entry.load.localWaitingTokens > 0) {
+            works.push_back({presence::nameHash(instance), entry.load.localWaitingTokens});
         }
     }
     return works;
@@ -161,7 +161,7 @@
             channel->close();
             return true;
         });
-        const bool isForgotten = !directory_->find(entry->first) && entry->second.load.openHere == 0;
+        const bool isForgotten = !directory_->find(entry->first) && entry->second.load.localOpenRequests == 0;
         entry = isForgotten ? entries_.erase(entry) : std::next(entry);
     }
 }
--- a/src/forwarding/tests/forwarderlimits_test.cpp
+++ b/src/forwarding/tests/forwarderlimits_test.cpp
@@ -1,5 +1,5 @@
 #include "forwarding/tests/forwardertest.h"
-#include "serverlimits/serverlimitkeeper.h"
+#include "serverlimits/serverratelimiter.h"
 
 namespace cardamomlift::forwarding {
 
@@ -14,7 +14,7 @@
     ForwarderLimitsTest()
     {
         clock_.pause();
-        serverlimits::KeeperTools tools;
+        serverlimits::ServerRateLimiterTools tools;
         tools.loop = loop_.get();
         tools.directory = directory_;
         tools.log = log_;
@@ -25,7 +25,7 @@
         tools.vms = [] {
             return std::vector<std::string>{"vm"};
         };
-        limits_ = serverlimits::ServerLimitKeeper::create(std::move(tools));
+        limits_ = serverlimits::ServerRateLimiter::create(std::move(tools));
         tools_.limits = limits_;
         restartForwarder();
         clock_.advance(ForwardingSettings().retryWindow);
@@ -65,7 +65,7 @@
         ASSERT_TRUE(runUntil([&] { return answered(*client, "200"); })) << client->received();
     }
 
-    std::shared_ptr<serverlimits::ServerLimitKeeper> limits_;
+    std::shared_ptr<serverlimits::ServerRateLimiter> limits_;
 };
 
 TEST_F(ForwarderLimitsTest, AServerThatNamesALimitInAnAnswerGetsNoMore)
--- a/src/forwarding/tests/peerwork_test.cpp
+++ b/src/forwarding/tests/peerwork_test.cpp
@@ -117,8 +117,8 @@
         std::vector<balancing::Candidate> candidates(Engines);
         for (std::size_t engine = 0; engine < Engines; engine++) {
             candidates[engine].server = &servers_[engine];
-            candidates[engine].load.promptTokensHere = waitingAt(vm, engine, now);
-            candidates[engine].load.promptTokensElsewhere = works_[vm].waitingTokens(engine, now);
+            candidates[engine].load.localWaitingTokens = waitingAt(vm, engine, now);
+            candidates[engine].load.peerWaitingTokens = works_[vm].waitingTokens(engine, now);
         }
         balancing::ChoiceInput input;
         input.promptTokens = tokens;
--- a/src/outliers/internal/outlierdetector.cpp
+++ b/src/outliers/internal/outlierdetector.cpp
@@ -47,18 +47,18 @@
     outliers::note(services_[service], ending, loop_.now());
 }
 
-std::optional<Outcomes> OutlierDetector::known(std::uint64_t server) const
+std::optional<OutcomeCounts> OutlierDetector::known(std::uint64_t server) const
 {
     const auto own = servers_.find(server);
     const auto others = told_.find(server);
     if (own == servers_.end() && others == told_.end()) {
         return std::nullopt;
     }
-    const Outcomes mine = own == servers_.end() ? Outcomes() : own->second.outcomes;
+    const OutcomeCounts mine = own == servers_.end() ? OutcomeCounts() : own->second.outcomes;
     if (others == told_.end()) {
         return mine;
     }
-    std::vector<Outcomes> theirs;
+    std::vector<OutcomeCounts> theirs;
     theirs.reserve(others->second.size());
     for (const auto &[vm, outcomes] : others->second) {
         theirs.push_back(outcomes);
@@ -92,7 +92,7 @@
         if (!isDoubted && !isWorthTelling(entry.outcomes, now)) {
             continue;
         }
-        const Outcomes current = asOf(entry.outcomes, now);
+        const OutcomeCounts current = asOf(entry.outcomes, now);
         told.push_back({server,
             current.answered,
             current.failed,
@@ -113,7 +113,7 @@
     const TimePoint now = loop_.now();
     dropTold(vm);
     for (const presence::ServerOutcomes &server : servers) {
-        Outcomes outcomes;
+        OutcomeCounts outcomes;
         outcomes.answered = server.answered;
         outcomes.failed = server.failed;
         outcomes.updatedAt = now;
@@ -147,7 +147,7 @@
 
 void OutlierDetector::logChange(std::uint64_t server, const Entry &entry, bool isNow)
 {
-    const Outcomes all = known(server).value_or(Outcomes());
+    const OutcomeCounts all = known(server).value_or(OutcomeCounts());
     const auto age = all.lastFailedAt ? std::chrono::duration_cast<std::chrono::milliseconds>(loop_.now() - *all.lastFailedAt).count() : -1;
     log_->write(isNow ? Event::ServerAvoided : Event::ServerTrusted,
         {{Attribute::Server, entry.instance},
--- a/src/outliers/internal/outlierrules.cpp
+++ b/src/outliers/internal/outlierrules.cpp
@@ -30,7 +30,7 @@
 
 } // namespace
 
-Outcomes asOf(Outcomes outcomes, TimePoint now)
+OutcomeCounts asOf(OutcomeCounts outcomes, TimePoint now)
 {
     const double seconds = std::max(0.0, static_cast<double>((now - outcomes.updatedAt).count()) / MicrosecondsPerSecond);
     const double factor = std::exp(-seconds / MemorySeconds);
@@ -40,7 +40,7 @@
     return outcomes;
 }
 
-void note(Outcomes &outcomes, Ending ending, TimePoint now)
+void note(OutcomeCounts &outcomes, Ending ending, TimePoint now)
 {
     outcomes = asOf(outcomes, now);
     if (ending == Ending::NoAnswer) {
@@ -54,17 +54,17 @@
     (ending == Ending::Answered ? outcomes.answered : outcomes.failed) += 1;
 }
 
-Outcomes together(const Outcomes &own, std::span<const Outcomes> others, TimePoint now)
+OutcomeCounts together(const OutcomeCounts &own, std::span<const OutcomeCounts> others, TimePoint now)
 {
-    Outcomes sum = asOf(own, now);
+    OutcomeCounts sum = asOf(own, now);
     std::optional<TimePoint> answeredAt = own.lastAnsweredAt;
-    for (const Outcomes &other : others) {
-        const Outcomes more = asOf(other, now);
+    for (const OutcomeCounts &other : others) {
+        const OutcomeCounts more = asOf(other, now);
         sum.answered += more.answered;
         sum.failed += more.failed;
         answeredAt = std::max(answeredAt, other.lastAnsweredAt);
     }
-    for (const Outcomes &other : others) {
+    for (const OutcomeCounts &other : others) {
         if (other.lastFailedAt && other.lastFailedAt > answeredAt) {
             sum.failedInARow += other.failedInARow;
             sum.lastFailedAt = std::max(sum.lastFailedAt, other.lastFailedAt);
@@ -73,12 +73,12 @@
     return sum;
 }
 
-double usualFailures(const Outcomes &service)
+double usualFailures(const OutcomeCounts &service)
 {
     return service.failed / (service.answered + service.failed + AssumedAnswers);
 }
 
-bool isOutlier(const Outcomes &outcomes, double usual, TimePoint now)
+bool isOutlier(const OutcomeCounts &outcomes, double usual, TimePoint now)
 {
     if (outcomes.failedInARow >= EnoughInARow && outcomes.lastFailedAt) {
         const Duration avoid = std::min(MostAvoid, AvoidStep * outcomes.failedInARow);
@@ -86,7 +86,7 @@
             return true;
         }
     }
-    const Outcomes current = asOf(outcomes, now);
+    const OutcomeCounts current = asOf(outcomes, now);
     const double count = current.answered + current.failed;
     if (count < EnoughOutcomes) {
         return false;
@@ -95,7 +95,7 @@
     return current.failed > count * expected + Deviations * std::sqrt(count * expected * (1 - expected)) + 1;
 }
 
-bool isWorthTelling(const Outcomes &outcomes, TimePoint now)
+bool isWorthTelling(const OutcomeCounts &outcomes, TimePoint now)
 {
     const bool isRecent = outcomes.failedInARow > 0 && outcomes.lastFailedAt && now - *outcomes.lastFailedAt < MostAvoid;
     return isRecent || asOf(outcomes, now).failed >= LeastTold;
--- a/src/outliers/outlierdetector.h
+++ b/src/outliers/outlierdetector.h
@@ -37,19 +37,19 @@
     struct Entry {
         std::string instance;
         std::string service;
-        Outcomes outcomes;
+        OutcomeCounts outcomes;
         bool wasOutlier = false; ///< As logged last.
     };
     /// Empty if nobody has seen anything.
-    std::optional<Outcomes> known(std::uint64_t server) const;
+    std::optional<OutcomeCounts> known(std::uint64_t server) const;
     void dropTold(const std::string &vm);
     void logChange(std::uint64_t server, const Entry &entry, bool isNow);
     EventLoop &loop_;
     std::shared_ptr<eventlog::EventLog> log_;
     std::unordered_map<std::uint64_t, Entry> servers_; ///< By the hash of the instance: what this VM has seen.
-    std::map<std::string, Outcomes> services_; ///< All its servers together.
+    std::map<std::string, OutcomeCounts> services_; ///< All its servers together.
     /// What other VMs said, by the hash of the instance, by VM. Mostly empty: servers without failures are not told.
-    std::unordered_map<std::uint64_t, std::map<std::string, Outcomes>> told_;
+    std::unordered_map<std::uint64_t, std::map<std::string, OutcomeCounts>> told_;
     std::map<std::string, std::vector<std::uint64_t>> toldBy_; ///< By VM: the servers of its last word.
 };
 
--- a/src/outliers/outlierstypes.h
+++ b/src/outliers/outlierstypes.h
@@ -8,7 +8,7 @@
 namespace cardamomlift::outliers {
 
 /// What the requests sent to one backend server came to, as one VM has seen it. Older ones count less.
-struct Outcomes {
+struct OutcomeCounts {
     double answered = 0; ///< Decayed counts, as of updatedAt.
     double failed = 0; ///< Of all kinds: server errors, broken answers, silence, no connection.
     TimePoint updatedAt;
--- a/src/outliers/tests/outlierrules_test.cpp
+++ b/src/outliers/tests/outlierrules_test.cpp
@@ -11,9 +11,9 @@
 
 const TimePoint Start(std::chrono::hours(1));
 
-Outcomes outcomesOf(int answered, int failed)
+OutcomeCounts outcomesOf(int answered, int failed)
 {
-    Outcomes outcomes;
+    OutcomeCounts outcomes;
     for (int i = 0; i < failed; i++) {
         note(outcomes, Ending::ServerError, Start);
     }
@@ -25,7 +25,7 @@
 
 TEST(OutlierRules, OneRequestWithoutAnAnswerProvesNothing)
 {
-    Outcomes outcomes = outcomesOf(5, 0);
+    OutcomeCounts outcomes = outcomesOf(5, 0);
     note(outcomes, Ending::NoAnswer, Start);
     EXPECT_FALSE(isOutlier(outcomes, 0, Start));
     note(outcomes, Ending::NoAnswer, Start);
@@ -34,7 +34,7 @@
 
 TEST(OutlierRules, ATrialComesLaterWithEachFailureInARowUpToABound)
 {
-    Outcomes outcomes;
+    OutcomeCounts outcomes;
     for (int i = 0; i < 2; i++) {
         note(outcomes, Ending::NoAnswer, Start);
     }
@@ -49,7 +49,7 @@
 
 TEST(OutlierRules, AnAnswerEndsARowOfFailures)
 {
-    Outcomes outcomes;
+    OutcomeCounts outcomes;
     note(outcomes, Ending::NoAnswer, Start);
     note(outcomes, Ending::NoAnswer, Start);
     note(outcomes, Ending::Answered, Start);
@@ -58,7 +58,7 @@
 
 TEST(OutlierRules, AServerThatFailsHalfOfItsRequestsStandsOutOnlyWhereOthersDoNot)
 {
-    const Outcomes half = outcomesOf(6, 6);
+    const OutcomeCounts half = outcomesOf(6, 6);
     EXPECT_TRUE(isOutlier(half, 0.05, Start));
     EXPECT_FALSE(isOutlier(half, 0.45, Start));
 }
@@ -72,31 +72,31 @@
 
 TEST(OutlierRules, FailuresFadeSoThatAServerIsTriedAgain)
 {
-    const Outcomes half = outcomesOf(6, 6);
+    const OutcomeCounts half = outcomesOf(6, 6);
     EXPECT_FALSE(isOutlier(half, 0.05, Start + seconds(8)));
 }
 
 TEST(OutlierRules, WhatOthersSawCountsUntilAnyVmHasHadAnAnswerSince)
 {
-    Outcomes other;
+    OutcomeCounts other;
     note(other, Ending::NoAnswer, Start);
     note(other, Ending::NoAnswer, Start);
-    const Outcomes nothing;
+    const OutcomeCounts nothing;
     EXPECT_TRUE(isOutlier(together(nothing, {&other, 1}, Start), 0, Start));
-    Outcomes answered;
+    OutcomeCounts answered;
     note(answered, Ending::Answered, Start + milliseconds(10));
     const TimePoint later = Start + milliseconds(20);
     EXPECT_FALSE(isOutlier(together(answered, {&other, 1}, later), 0, later));
-    const Outcomes others[] = {other, answered};
+    const OutcomeCounts others[] = {other, answered};
     EXPECT_FALSE(isOutlier(together(nothing, others, later), 0, later));
 }
 
 TEST(OutlierRules, OwnFailuresInARowCountWhateverOthersSaw)
 {
-    Outcomes own;
+    OutcomeCounts own;
     note(own, Ending::NoAnswer, Start);
     note(own, Ending::NoAnswer, Start);
-    Outcomes answered;
+    OutcomeCounts answered;
     note(answered, Ending::Answered, Start + milliseconds(10));
     EXPECT_TRUE(isOutlier(together(own, {&answered, 1}, Start + milliseconds(20)), 0, Start + milliseconds(20)));
 }
--- a/src/prefixindex/internal/prefixindex.cpp
+++ b/src/prefixindex/internal/prefixindex.cpp
@@ -36,14 +36,14 @@
     if (holders_.size() >= MostPrefixes && !holders_.contains(prefix)) {
         return;
     }
-    std::vector<Holder> &holders = holders_[prefix];
-    const auto known = std::find_if(holders.begin(), holders.end(), [server](const Holder &holder) { return holder.server == server; });
+    std::vector<CachingServer> &holders = holders_[prefix];
+    const auto known = std::find_if(holders.begin(), holders.end(), [server](const CachingServer &holder) { return holder.server == server; });
     if (known != holders.end()) {
         known->usedAt = std::max(known->usedAt, at);
         return;
     }
     if (holders.size() >= MostHolders) {
-        holders.erase(std::min_element(holders.begin(), holders.end(), [](const Holder &a, const Holder &b) { return a.usedAt < b.usedAt; }));
+        holders.erase(std::min_element(holders.begin(), holders.end(), [](const CachingServer &a, const CachingServer &b) { return a.usedAt < b.usedAt; }));
     }
     holders.push_back({server, at});
 }
@@ -79,7 +79,7 @@
     return uses;
 }
 
-std::vector<Holding> PrefixIndex::holdings(std::span<const Prefix> prefixes) const
+std::vector<PrefixMatch> PrefixIndex::matches(std::span<const Prefix> prefixes) const
 {
     std::map<std::uint64_t, std::int64_t> tokens;
     for (const Prefix &prefix : prefixes) {
@@ -87,23 +87,23 @@
         if (found == holders_.end()) {
             continue;
         }
-        for (const Holder &holder : found->second) {
+        for (const CachingServer &holder : found->second) {
             tokens[holder.server] = prefix.tokens;
         }
     }
-    std::vector<Holding> holdings;
-    holdings.reserve(tokens.size());
+    std::vector<PrefixMatch> matches;
+    matches.reserve(tokens.size());
     for (const auto &[server, held] : tokens) {
-        holdings.push_back({server, held});
+        matches.push_back({server, held});
     }
-    return holdings;
+    return matches;
 }
 
 void PrefixIndex::tick()
 {
     const TimePoint now = loop_.now();
     for (auto entry = holders_.begin(); entry != holders_.end();) {
-        std::erase_if(entry->second, [now](const Holder &holder) { return now - holder.usedAt > HeldFor; });
+        std::erase_if(entry->second, [now](const CachingServer &holder) { return now - holder.usedAt > HeldFor; });
         entry = entry->second.empty() ? holders_.erase(entry) : std::next(entry);
     }
 }
--- a/src/prefixindex/internal/prefixrules.cpp
+++ b/src/prefixindex/internal/prefixrules.cpp
@@ -19,11 +19,11 @@
     return prefixes;
 }
 
-std::int64_t heldTokens(std::span<const Holding> holdings, std::uint64_t server)
+std::int64_t matchedTokens(std::span<const PrefixMatch> matches, std::uint64_t server)
 {
     const auto place =
-        std::lower_bound(holdings.begin(), holdings.end(), server, [](const Holding &holding, std::uint64_t wanted) { return holding.server < wanted; });
-    return place != holdings.end() && place->server == server ? place->tokens : 0;
+        std::lower_bound(matches.begin(), matches.end(), server, [](const PrefixMatch &match, std::uint64_t wanted) { return match.server < wanted; });
+    return place != matches.end() && place->server == server ? place->tokens : 0;
 }
 
 } // namespace cardamomlift::prefixindex
--- a/src/prefixindex/prefixindex.h
+++ b/src/prefixindex/prefixindex.h
@@ -25,7 +25,7 @@
     /// What the other VMs should hear: this VM's newest sends, one line for each server and longest prefix.
     std::vector<presence::PrefixUse> told() const;
     /// The servers that are believed to keep one of @p prefixes (shortest first), in order of their hashes.
-    std::vector<Holding> holdings(std::span<const Prefix> prefixes) const;
+    std::vector<PrefixMatch> matches(std::span<const Prefix> prefixes) const;
     /// Forgets what is too old. Call it a few times a second.
     void tick();
     std::size_t size() const;
@@ -38,7 +38,7 @@
         TimePoint at;
     };
     EventLoop &loop_;
-    std::unordered_map<std::uint64_t, std::vector<Holder>> holders_; ///< By the hash of the prefix.
+    std::unordered_map<std::uint64_t, std::vector<CachingServer>> holders_; ///< By the hash of the prefix.
     std::vector<Sent> sent_; ///< By this VM, oldest first.
 };
 
--- a/src/prefixindex/prefixindextypes.h
+++ b/src/prefixindex/prefixindextypes.h
@@ -13,13 +13,13 @@
 };
 
 /// What a server is believed to keep of one prompt.
-struct Holding {
+struct PrefixMatch {
     std::uint64_t server = 0; ///< presence::nameHash() of the instance.
     std::int64_t tokens = 0; ///< Of the longest prefix that it keeps.
 };
 
 /// A server that is believed to keep a prefix in its cache.
-struct Holder {
+struct CachingServer {
     std::uint64_t server = 0; ///< presence::nameHash() of the instance.
     TimePoint usedAt; ///< When a request with the prefix went there last.
 };
--- a/src/prefixindex/prefixrules.h
+++ b/src/prefixindex/prefixrules.h
@@ -12,7 +12,7 @@
 /// hashes are the same on all VMs.
 std::vector<Prefix> prefixesOf(std::span<const forwarding::PromptPart> prompt);
 
-/// What the server with the hash @p server keeps; @p holdings are in order of the hashes.
-std::int64_t heldTokens(std::span<const Holding> holdings, std::uint64_t server);
+/// What the server with the hash @p server keeps; @p matches are in order of the hashes.
+std::int64_t matchedTokens(std::span<const PrefixMatch> matches, std::uint64_t server);
 
 } // namespace cardamomlift::prefixindex
--- a/src/prefixindex/tests/prefixindex_test.cpp
+++ b/src/prefixindex/tests/prefixindex_test.cpp
@@ -41,7 +41,7 @@
 
     std::int64_t held(std::string_view instance) const
     {
-        return heldTokens(index_->holdings(prefixes_), presence::nameHash(instance));
+        return matchedTokens(index_->matches(prefixes_), presence::nameHash(instance));
     }
 
     std::vector<Prefix> prefixes_;
@@ -65,13 +65,13 @@
     for (const char *instance : {"c", "a", "d", "b"}) {
         index_->noteSent(prefixes_, instance);
     }
-    const auto holdings = index_->holdings(prefixes_);
-    ASSERT_EQ(holdings.size(), 4U);
-    for (std::size_t i = 1; i < holdings.size(); i++) {
-        EXPECT_LT(holdings[i - 1].server, holdings[i].server);
+    const auto matches = index_->matches(prefixes_);
+    ASSERT_EQ(matches.size(), 4U);
+    for (std::size_t i = 1; i < matches.size(); i++) {
+        EXPECT_LT(matches[i - 1].server, matches[i].server);
     }
-    EXPECT_TRUE(index_->holdings({}).empty());
-    EXPECT_EQ(heldTokens({}, 7), 0);
+    EXPECT_TRUE(index_->matches({}).empty());
+    EXPECT_EQ(matchedTokens({}, 7), 0);
 }
 
 TEST_F(PrefixIndexTest, HearsFromOtherVms)
--- a/src/presence/presencetypes.h
+++ b/src/presence/presencetypes.h
@@ -27,7 +27,7 @@
     std::uint32_t count = 0;
 };
 
-/// What one entry VM's requests to a backend server came to; see outliers::Outcomes.
+/// What one entry VM's requests to a backend server came to; see outliers::OutcomeCounts.
 struct ServerOutcomes {
     std::uint64_t server = 0; ///< nameHash() of the instance.
     double answered = 0;
--- a/src/serverlimits/internal/serverlimitkeeper.cpp
+++ b/src/serverlimits/internal/serverratelimiter.cpp
@@ -1,4 +1,4 @@
-#include "serverlimits/serverlimitkeeper.h"
+#include "serverlimits/serverratelimiter.h"
 
 #include "serverlimits/turnrules.h"
 
@@ -27,20 +27,20 @@
 
 } // namespace
 
-ServerLimitKeeper::ServerLimitKeeper(KeeperTools tools)
+ServerRateLimiter::ServerRateLimiter(ServerRateLimiterTools tools)
     : tools_(std::move(tools))
     , own_(presence::nameHash(tools_.instance))
 {
 }
 
-std::shared_ptr<ServerLimitKeeper> ServerLimitKeeper::create(KeeperTools tools)
+std::shared_ptr<ServerRateLimiter> ServerRateLimiter::create(ServerRateLimiterTools tools)
 {
-    std::shared_ptr<ServerLimitKeeper> keeper(new ServerLimitKeeper(std::move(tools)));
+    std::shared_ptr<ServerRateLimiter> keeper(new ServerRateLimiter(std::move(tools)));
     keeper->tick();
     return keeper;
 }
 
-const ServerLimitKeeper::Known *ServerLimitKeeper::limited(const std::string &instance) const
+const ServerRateLimiter::Known *ServerRateLimiter::limited(const std::string &instance) const
 {
     if (servers_.empty()) {
         return nullptr;
@@ -49,7 +49,7 @@
     return found != servers_.end() && found->second.isLimited ? &found->second : nullptr;
 }
 
-bool ServerLimitKeeper::hasRoom(const std::string &instance)
+bool ServerRateLimiter::hasRoom(const std::string &instance)
 {
     if (!limited(instance)) {
         return true;
@@ -63,14 +63,14 @@
     return !book.own.empty();
 }
 
-void ServerLimitKeeper::noteSent(const std::string &instance)
+void ServerRateLimiter::noteSent(const std::string &instance)
 {
     if (limited(instance)) {
         useTurn(servers_.at(presence::nameHash(instance)).book);
     }
 }
 
-void ServerLimitKeeper::noteAnswer(const std::string &instance, const LimitStatement &statement, TimePoint sentAt)
+void ServerRateLimiter::noteAnswer(const std::string &instance, const LimitStatement &statement, TimePoint sentAt)
 {
     if (statement.kind == LimitStatement::Kind::Unknown) {
         return;
@@ -84,7 +84,7 @@
 
 // NOTE An answer may have been made before the limit was named that another VM heard of. Only one to a request that was sent
 // after that ends it. Answers after the end are taken too for as long as it is told: newer ones convince who doubts it.
-bool ServerLimitKeeper::mayEnd(std::uint64_t server, TimePoint sentAt) const
+bool ServerRateLimiter::mayEnd(std::uint64_t server, TimePoint sentAt) const
 {
     const auto found = servers_.find(server);
     if (found == servers_.end() || sentAt < found->second.heardAt) {
@@ -93,24 +93,24 @@
     return found->second.isLimited || isEndTold(found->second);
 }
 
-bool ServerLimitKeeper::isEndTold(const Known &known) const
+bool ServerRateLimiter::isEndTold(const Known &known) const
 {
     return tools_.loop->now() - known.changedAt < EndToldFor;
 }
 
-std::optional<double> ServerLimitKeeper::perSecond(const std::string &instance) const
+std::optional<double> ServerRateLimiter::perSecond(const std::string &instance) const
 {
     const Known *known = limited(instance);
     return known ? std::optional(known->book.perSecond) : std::nullopt;
 }
 
-double ServerLimitKeeper::ownPerSecond(const std::string &instance) const
+double ServerRateLimiter::ownPerSecond(const std::string &instance) const
 {
     const Known *known = limited(instance);
     return known && !vms_.empty() ? known->book.perSecond / static_cast<double>(vms_.size()) : 0;
 }
 
-void ServerLimitKeeper::take(const Word &word)
+void ServerRateLimiter::take(const Word &word)
 {
     const auto [place, isNew] = servers_.try_emplace(word.server);
     Known &known = place->second;
@@ -133,7 +133,7 @@
     }
 }
 
-void ServerLimitKeeper::changeRate(TurnBook &book, double perSecond)
+void ServerRateLimiter::changeRate(TurnBook &book, double perSecond)
 {
     const auto now = tools_.storeNow();
     if (now && book.seen) {
@@ -143,7 +143,7 @@
     setRate(book, perSecond, now);
 }
 
-std::vector<presence::ServerLimit> ServerLimitKeeper::told() const
+std::vector<presence::ServerLimit> ServerRateLimiter::told() const
 {
     const TimePoint now = tools_.loop->now();
     std::vector<presence::ServerLimit> limits;
@@ -157,7 +157,7 @@
     return limits;
 }
 
-void ServerLimitKeeper::takeTold(const std::string &vm, const std::vector<presence::ServerLimit> &limits)
+void ServerRateLimiter::takeTold(const std::string &vm, const std::vector<presence::ServerLimit> &limits)
 {
     const TimePoint now = tools_.loop->now();
     for (const presence::ServerLimit &limit : limits) {
@@ -166,7 +166,7 @@
     }
 }
 
-void ServerLimitKeeper::tick()
+void ServerRateLimiter::tick()
 {
     vms_.clear();
     for (const std::string &vm : tools_.vms()) {
@@ -180,18 +180,18 @@
     std::erase_if(servers_, [&](const auto &entry) { return !tools_.directory->findHashed(entry.first) && now - entry.second.heardAt > UnlistedKeptFor; });
 }
 
-std::size_t ServerLimitKeeper::limitedServers() const
+std::size_t ServerRateLimiter::limitedServers() const
 {
     return static_cast<std::size_t>(std::count_if(servers_.begin(), servers_.end(), [](const auto &entry) { return entry.second.isLimited; }));
 }
 
-std::string ServerLimitKeeper::nameOf(std::uint64_t server) const
+std::string ServerRateLimiter::nameOf(std::uint64_t server) const
 {
     const auto known = tools_.directory->findHashed(server);
     return known ? known->server.instance : std::string();
 }
 
-void ServerLimitKeeper::logChange(const Word &word, const Known &before) const
+void ServerRateLimiter::logChange(const Word &word, const Known &before) const
 {
     const std::string limit = word.isLimited ? fmt::format("{}", word.perSecond) : std::string();
     const std::string_view outcome = !word.isLimited ? "ended" : before.isLimited ? "changed" : "named";
--- a/src/serverlimits/serverlimitsmodule.cpp
+++ b/src/serverlimits/serverlimitsmodule.cpp
@@ -3,7 +3,7 @@
 #include "metrics/metrics.h"
 #include "presence/presence.h"
 #include "presence/truetime.h"
-#include "serverlimits/serverlimitkeeper.h"
+#include "serverlimits/serverratelimiter.h"
 
 namespace cardamomlift::serverlimits {
 
@@ -47,7 +47,7 @@
     Result<void> start(Context &context) override
     {
         const auto presence = context.get<presence::Presence>();
-        KeeperTools tools;
+        ServerRateLimiterTools tools;
         tools.loop = context.get<Runtime>()->loop;
         tools.directory = context.get<directory::Directory>();
         tools.log = context.get<eventlog::EventLog>();
@@ -59,7 +59,7 @@
             return vmNames(*presence);
         };
         EventLoop *loop = tools.loop;
-        const auto keeper = ServerLimitKeeper::create(std::move(tools));
+        const auto keeper = ServerRateLimiter::create(std::move(tools));
         context.set<forwarding::ServerLimitGate>(keeper);
         presence->contribute([keeper](presence::Status &status) { status.limits = keeper->told(); });
         presence->onStatus([keeper](const presence::Status &status, std::optional<TimePoint>) { keeper->takeTold(status.instance, status.limits); });
--- a/src/serverlimits/serverlimitkeeper.h
+++ b/src/serverlimits/serverratelimiter.h
@@ -17,7 +17,7 @@
 namespace cardamomlift::serverlimits {
 
 /// What a keeper works with.
-struct KeeperTools {
+struct ServerRateLimiterTools {
     EventLoop *loop = nullptr;
     std::shared_ptr<directory::Directory> directory;
     std::shared_ptr<eventlog::EventLog> log;
@@ -29,10 +29,10 @@
 
 /// Knows which backend servers have named a limit, from this VM's answers and what other VMs tell, and which requests this
 /// VM may send them.
-class ServerLimitKeeper : public forwarding::ServerLimitGate
+class ServerRateLimiter : public forwarding::ServerLimitGate
 {
 public:
-    static std::shared_ptr<ServerLimitKeeper> create(KeeperTools tools);
+    static std::shared_ptr<ServerRateLimiter> create(ServerRateLimiterTools tools);
 
     bool hasRoom(const std::string &instance) override;
     void noteSent(const std::string &instance) override;
@@ -66,7 +66,7 @@
         TimePoint heardAt;
         std::string_view from; ///< The VM or group that told it; empty: an answer at this VM.
     };
-    explicit ServerLimitKeeper(KeeperTools tools);
+    explicit ServerRateLimiter(ServerRateLimiterTools tools);
     const Known *limited(const std::string &instance) const;
     bool mayEnd(std::uint64_t server, TimePoint sentAt) const;
     bool isEndTold(const Known &known) const;
@@ -75,7 +75,7 @@
     void logChange(const Word &word, const Known &before) const;
     std::string nameOf(std::uint64_t server) const;
 
-    KeeperTools tools_;
+    ServerRateLimiterTools tools_;
     std::uint64_t own_; ///< Hash of this VM's name.
     std::vector<std::uint64_t> vms_; ///< Hashes of the names of all VMs, in order.
     std::unordered_map<std::uint64_t, Known> servers_; ///< By the hash of the instance.
--- a/src/serverlimits/tests/serverlimitkeeper_test.cpp
+++ b/src/serverlimits/tests/serverratelimiter_test.cpp
@@ -1,4 +1,4 @@
-#include "serverlimits/serverlimitkeeper.h"
+#include "serverlimits/serverratelimiter.h"
 
 #include <gtest/gtest.h>
 
@@ -19,10 +19,10 @@
 }
 
 /// Two VMs before one server, on a paused clock.
-class ServerLimitKeeperTest : public testing::Test
+class ServerRateLimiterTest : public testing::Test
 {
 protected:
-    ServerLimitKeeperTest()
+    ServerRateLimiterTest()
     {
         loop_ = EventLoop::create(clock_).value();
         log_ = eventlog::EventLog::create(clock_, "test", [this](std::string_view line) {
@@ -43,9 +43,9 @@
         directory_->put(std::move(server));
     }
 
-    std::shared_ptr<ServerLimitKeeper> create(const std::string &vm)
+    std::shared_ptr<ServerRateLimiter> create(const std::string &vm)
     {
-        KeeperTools tools;
+        ServerRateLimiterTools tools;
         tools.loop = loop_.get();
         tools.directory = directory_;
         tools.log = log_;
@@ -56,7 +56,7 @@
         tools.vms = [this] {
             return vms_;
         };
-        return ServerLimitKeeper::create(std::move(tools));
+        return ServerRateLimiter::create(std::move(tools));
     }
 
     void pass(Duration time)
@@ -72,7 +72,7 @@
     }
 
     /// Requests that a VM may send in some time, if it sends as many as it may.
-    int sent(ServerLimitKeeper &keeper, Duration time)
+    int sent(ServerRateLimiter &keeper, Duration time)
     {
         int count = 0;
         for (Duration passed(0); passed < time; passed += milliseconds(10)) {
@@ -85,7 +85,7 @@
         return count;
     }
 
-    void tell(const ServerLimitKeeper &from, ServerLimitKeeper &to)
+    void tell(const ServerRateLimiter &from, ServerRateLimiter &to)
     {
         to.takeTold("peer", from.told());
     }
@@ -97,11 +97,11 @@
     std::shared_ptr<directory::Directory> directory_ = directory::Directory::create();
     bool isClockKnown_ = true;
     std::vector<std::string> vms_{"one", "two"};
-    std::shared_ptr<ServerLimitKeeper> one_;
-    std::shared_ptr<ServerLimitKeeper> two_;
+    std::shared_ptr<ServerRateLimiter> one_;
+    std::shared_ptr<ServerRateLimiter> two_;
 };
 
-TEST_F(ServerLimitKeeperTest, AServerWithoutALimitAlwaysHasRoom)
+TEST_F(ServerRateLimiterTest, AServerWithoutALimitAlwaysHasRoom)
 {
     one_->noteAnswer("server", Unlimited, now());
     EXPECT_TRUE(one_->hasRoom("server"));
@@ -109,7 +109,7 @@
     EXPECT_TRUE(one_->told().empty());
 }
 
-TEST_F(ServerLimitKeeperTest, AVmGetsItsPartOfTheLimit)
+TEST_F(ServerRateLimiterTest, AVmGetsItsPartOfTheLimit)
 {
     one_->noteAnswer("server", limited(1), now());
     EXPECT_EQ(one_->perSecond("server"), 1);
@@ -117,7 +117,7 @@
     EXPECT_NEAR(sent(*one_, seconds(200)), 100, 25);
 }
 
-TEST_F(ServerLimitKeeperTest, AVmHearsOfALimitFromAnother)
+TEST_F(ServerRateLimiterTest, AVmHearsOfALimitFromAnother)
 {
     one_->noteAnswer("server", limited(1), now());
     tell(*one_, *two_);
@@ -125,7 +125,7 @@
     EXPECT_TRUE(two_->told().empty()) << "who heard it tells it";
 }
 
-TEST_F(ServerLimitKeeperTest, TheNewestWordHolds)
+TEST_F(ServerRateLimiterTest, TheNewestWordHolds)
 {
     one_->noteAnswer("server", limited(1), now());
     const auto old = one_->told();
@@ -138,7 +138,7 @@
     EXPECT_TRUE(one_->told().empty()) << "its own word is no longer the newest";
 }
 
-TEST_F(ServerLimitKeeperTest, OnlyAnAnswerToALaterRequestEndsALimit)
+TEST_F(ServerRateLimiterTest, OnlyAnAnswerToALaterRequestEndsALimit)
 {
     const TimePoint before = now();
     pass(milliseconds(100));
@@ -153,7 +153,7 @@
     EXPECT_TRUE(one_->hasRoom("server"));
 }
 
-TEST_F(ServerLimitKeeperTest, NewsFromBeforeDoesNotBringALimitBack)
+TEST_F(ServerRateLimiterTest, NewsFromBeforeDoesNotBringALimitBack)
 {
     one_->noteAnswer("server", limited(1), now());
     tell(*one_, *two_);
@@ -166,7 +166,7 @@
     EXPECT_FALSE(one_->perSecond("server")) << "the end is told too";
 }
 
-TEST_F(ServerLimitKeeperTest, AnEndThatWasOnItsWayDoesNotEndALimitThatWasNamedAnew)
+TEST_F(ServerRateLimiterTest, AnEndThatWasOnItsWayDoesNotEndALimitThatWasNamedAnew)
 {
     one_->noteAnswer("server", limited(1), now());
     tell(*one_, *two_);
@@ -180,7 +180,7 @@
     EXPECT_TRUE(two_->perSecond("server"));
 }
 
-TEST_F(ServerLimitKeeperTest, AnEndIsBelievedAfterFurtherAnswers)
+TEST_F(ServerRateLimiterTest, AnEndIsBelievedAfterFurtherAnswers)
 {
     one_->noteAnswer("server", limited(1), now());
     pass(milliseconds(100));
@@ -195,7 +195,7 @@
     EXPECT_FALSE(two_->perSecond("server"));
 }
 
-TEST_F(ServerLimitKeeperTest, AnEndIsToldForAWhileOnly)
+TEST_F(ServerRateLimiterTest, AnEndIsToldForAWhileOnly)
 {
     one_->noteAnswer("server", limited(1), now());
     pass(milliseconds(100));
@@ -208,7 +208,7 @@
     EXPECT_TRUE(one_->told().empty());
 }
 
-TEST_F(ServerLimitKeeperTest, AnotherStartOfAServerHasNoLimit)
+TEST_F(ServerRateLimiterTest, AnotherStartOfAServerHasNoLimit)
 {
     one_->noteAnswer("server", limited(1), now());
     list("server-2");
@@ -218,7 +218,7 @@
     EXPECT_EQ(one_->limitedServers(), 0U);
 }
 
-TEST_F(ServerLimitKeeperTest, WithoutAClockOrTheListOfVmsALimitedServerGetsNothing)
+TEST_F(ServerRateLimiterTest, WithoutAClockOrTheListOfVmsALimitedServerGetsNothing)
 {
     isClockKnown_ = false;
     one_->noteAnswer("server", limited(1), now());
@@ -230,13 +230,13 @@
     EXPECT_GT(sent(*one_, seconds(20)), 10);
 }
 
-TEST_F(ServerLimitKeeperTest, ALimitThatNobodyReachesBindsNobody)
+TEST_F(ServerRateLimiterTest, ALimitThatNobodyReachesBindsNobody)
 {
     one_->noteAnswer("server", limited(1e300), now());
     EXPECT_TRUE(one_->hasRoom("server"));
 }
 
-TEST_F(ServerLimitKeeperTest, EachChangeIsLoggedOnce)
+TEST_F(ServerRateLimiterTest, EachChangeIsLoggedOnce)
 {
     for (int i = 0; i < 3; i++) {
         one_->noteAnswer("server", limited(1.5), now());
