--- a/src/allowance/allowancekeeper.h
+++ b/src/allowance/allowancekeeper.h
@@ -15,8 +15,8 @@
 {
 public:
     static std::shared_ptr<AllowanceKeeper> create(EventLoop &loop, std::shared_ptr<presence::Presence> presence);
-    forwarding::AllowanceVerdict take(const manifest::Customer &customer, std::int64_t amount) override;
-    void giveBack(const manifest::Customer &customer, std::int64_t amount) override;
+    forwarding::AllowanceDecision take(const manifest::Customer &customer, std::int64_t amount) override;
+    void refund(const manifest::Customer &customer, std::int64_t amount) override;
 
 private:
     AllowanceKeeper(EventLoop &loop, std::shared_ptr<presence::Presence> presence);
--- a/src/allowance/internal/allowancekeeper.cpp
+++ b/src/allowance/internal/allowancekeeper.cpp
@@ -61,7 +61,7 @@
     return place->second;
 }
 
-forwarding::AllowanceVerdict AllowanceKeeper::take(const manifest::Customer &customer, std::int64_t amount)
+forwarding::AllowanceDecision AllowanceKeeper::take(const manifest::Customer &customer, std::int64_t amount)
 {
     const TimePoint now = loop_.now();
     Account &books = account(customer.name);
@@ -69,20 +69,20 @@
     noteAsked(books, asked, now);
     const std::size_t vms = presence_->vmCount().value_or(VmsWhileUnknown);
     refill(books, customer.allowance, vms, now);
-    forwarding::AllowanceVerdict verdict;
-    verdict.asked = amount;
-    verdict.left = static_cast<std::int64_t>(availableLevel(books, now));
-    verdict.limitPerSecond = static_cast<std::int64_t>(customer.allowance.perSecond);
-    verdict.hereAskedPerSecond = static_cast<std::int64_t>(askedNow(books, now));
-    verdict.elsewhereAskedPerSecond = static_cast<std::int64_t>(peersAskedNow(books, now));
-    verdict.isAllowed = allowance::take(books, customer.allowance, asked, now);
-    if (!verdict.isAllowed) {
-        verdict.retryAfter = timeUntilRoom(books, customer.allowance, vms, now);
+    forwarding::AllowanceDecision decision;
+    decision.requested = amount;
+    decision.remaining = static_cast<std::int64_t>(availableLevel(books, now));
+    decision.limitPerSecond = static_cast<std::int64_t>(customer.allowance.perSecond);
+    decision.localDemandPerSecond = static_cast<std::int64_t>(askedNow(books, now));
+    decision.remoteDemandPerSecond = static_cast<std::int64_t>(peersAskedNow(books, now));
+    decision.isAllowed = allowance::take(books, customer.allowance, asked, now);
+    if (!decision.isAllowed) {
+        decision.retryAfter = timeUntilRoom(books, customer.allowance, vms, now);
     }
-    return verdict;
+    return decision;
 }
 
-void AllowanceKeeper::giveBack(const manifest::Customer &customer, std::int64_t amount)
+void AllowanceKeeper::refund(const manifest::Customer &customer, std::int64_t amount)
 {
     Account &books = account(customer.name);
     books.level += static_cast<double>(amount);
--- a/src/duties/internal/orderkeeper.cpp
+++ b/src/duties/internal/orderkeeper.cpp
@@ -102,7 +102,7 @@
         }
         if (known.isLeaving) {
             zone->leaving++;
-        } else if (tools_.versions && !tools_.versions->isUsable(known.server)) {
+        } else if (tools_.versions && !tools_.versions->servesRegularTraffic(known.server)) {
             (known.server.isReclaimable ? zone->unprovedReclaimable : zone->unproved)++;
         } else {
             (known.server.isReclaimable ? zone->reclaimable : zone->ordinary)++;
@@ -149,7 +149,7 @@
 
 bool OrderKeeper::isRollingOut(const std::string &service) const
 {
-    return tools_.versions && tools_.versions->isUnderWay(service);
+    return tools_.versions && tools_.versions->isRolloutInProgress(service);
 }
 
 // A refused order is said again soon, so that the last answer is seconds old.
--- a/src/duties/tests/orders_test.cpp
+++ b/src/duties/tests/orders_test.cpp
@@ -1,7 +1,7 @@
 #include "duties/orderplan.h"
 #include "duties/servergoal.h"
 #include "duties/tests/dutiestest.h"
-#include "forwarding/tests/fixedversions.h"
+#include "forwarding/tests/fakeversiongate.h"
 
 namespace cardamomlift::duties {
 
@@ -176,7 +176,7 @@
         servers_->put(std::move(server));
     }
 
-    std::shared_ptr<forwarding::FixedVersions> versions_ = std::make_shared<forwarding::FixedVersions>();
+    std::shared_ptr<forwarding::FakeVersionGate> versions_ = std::make_shared<forwarding::FakeVersionGate>();
     Vm vm_ = start("1");
     std::shared_ptr<directory::Directory> servers_ = directory::Directory::create();
 };
--- a/src/forwarding/forwarder.h
+++ b/src/forwarding/forwarder.h
@@ -4,8 +4,8 @@
 #include "eventlog/eventlog.h"
 #include "forwarding/customerhooks.h"
 #include "forwarding/forwardingtypes.h"
-#include "forwarding/peerwork.h"
-#include "forwarding/returntimes.h"
+#include "forwarding/peerbacklog.h"
+#include "forwarding/retrypacer.h"
 #include "forwarding/serverlimitgate.h"
 #include "forwarding/serverpool.h"
 #include "forwarding/servicedemand.h"
@@ -44,7 +44,7 @@
     std::shared_ptr<ServiceDemand> demand;
     std::shared_ptr<outliers::OutlierDetector> outliers;
     std::shared_ptr<prefixindex::PrefixIndex> prefixes;
-    std::shared_ptr<PeerWork> peerWork;
+    std::shared_ptr<PeerBacklog> peerBacklog;
     WireFormat wire;
     ForwardingSettings settings;
 };
@@ -66,7 +66,7 @@
     void setSettings(const ForwardingSettings &settings);
     /// All servers of @p service but those of @p version stop at @p stopAt, without draining: runs that have not ended by
     /// then are moved, as in a reclaim.
-    void leaveOtherVersions(const std::string &service, const std::string &version, TimePoint stopAt);
+    void moveRunsOffOtherVersions(const std::string &service, const std::string &version, TimePoint stopAt);
 
 private:
     friend class ForwardedRequest;
@@ -87,7 +87,7 @@
     double grantedPart() const;
     TimePoint startedAt_;
     std::map<std::string, ServiceBudget> budgets_; ///< By service.
-    ReturnTimes returnTimes_; ///< Of callers refused by servers' limits.
+    RetryPacer retryPacer_; ///< Of callers refused by servers' limits.
     std::map<ForwardedRequest *, std::shared_ptr<ForwardedRequest>> open_;
 };
 
--- a/src/forwarding/forwardingmodule.cpp
+++ b/src/forwarding/forwardingmodule.cpp
@@ -64,11 +64,11 @@
         context.set(tools.demand);
         context.get<presence::Presence>()->contribute(
             [demand = tools.demand, loop = tools.loop](presence::Status &status) { status.services = demand->loads(loop->now()); });
-        tools.peerWork = std::make_shared<PeerWork>();
+        tools.peerBacklog = std::make_shared<PeerBacklog>();
         context.get<presence::Presence>()->contribute([pool](presence::Status &status) { status.works = pool->waitingWork(); });
-        context.get<presence::Presence>()->onStatus([work = tools.peerWork, loop = tools.loop](const presence::Status &status, std::optional<TimePoint>) {
+        context.get<presence::Presence>()->onStatus([work = tools.peerBacklog, loop = tools.loop](const presence::Status &status, std::optional<TimePoint>) {
             if (!status.isPartial) {
-                work->takeTold(status.instance, status.works, loop->now());
+                work->update(status.instance, status.works, loop->now());
             }
         });
         tools.vmCount = [presence = context.get<presence::Presence>()] {
--- a/src/forwarding/forwardingtypes.h
+++ b/src/forwarding/forwardingtypes.h
@@ -10,7 +10,7 @@
 namespace cardamomlift::forwarding {
 
 /// Why a request got an answer of this VM's own. One name each (reasonName()), one counter each.
-enum class Reason {
+enum class FailureReason {
     NoManifest, ///< This VM knows no declarations yet.
     StaleKeys, ///< What it knows of keys may be out of date.
     NoRoute,
@@ -28,7 +28,7 @@
     Count
 };
 
-std::string_view reasonName(Reason reason);
+std::string_view reasonName(FailureReason reason);
 
 /// How backend servers are reached and how often requests are repeated.
 struct ForwardingSettings {
--- a/src/forwarding/internal/forwardedrequest.cpp
+++ b/src/forwarding/internal/forwardedrequest.cpp
@@ -56,7 +56,7 @@
     }
     setDeadline();
     if (!forwarder_.takesWork(deadline_)) {
-        refuse(StatusUnavailable, Reason::Draining, DrainingRetryAfter);
+        refuse(StatusUnavailable, FailureReason::Draining, DrainingRetryAfter);
         return;
     }
     service_ = chooseService();
@@ -75,7 +75,7 @@
     prefixes_ = prefixindex::prefixesOf(request_.prompt);
     manifest_ = tools_.manifests->current();
     if (!manifest_) {
-        refuse(StatusUnavailable, Reason::NoManifest, StaleRetryAfter);
+        refuse(StatusUnavailable, FailureReason::NoManifest, StaleRetryAfter);
         return false;
     }
     return findRoute() && checkKey() && checkAllowance();
@@ -88,10 +88,10 @@
         return true;
     }
     if (!tools_.manifests->isFresh(tools_.loop->now(), DenialFreshness)) {
-        refuse(StatusUnavailable, Reason::StaleKeys, StaleRetryAfter);
+        refuse(StatusUnavailable, FailureReason::StaleKeys, StaleRetryAfter);
         return false;
     }
-    refuse(StatusNotFound, Reason::NoRoute, Duration(0));
+    refuse(StatusNotFound, FailureReason::NoRoute, Duration(0));
     return false;
 }
 
@@ -106,17 +106,17 @@
     }
     const TimePoint now = tools_.loop->now();
     if (tools_.settings.strictKeys && !tools_.manifests->isFresh(now, tools_.settings.keysFreshFor)) {
-        refuse(StatusUnavailable, Reason::StaleKeys, StaleRetryAfter);
+        refuse(StatusUnavailable, FailureReason::StaleKeys, StaleRetryAfter);
         return false;
     }
     if (customer_) {
         return true;
     }
     if (!tools_.manifests->isFresh(now, DenialFreshness)) {
-        refuse(StatusUnavailable, Reason::StaleKeys, StaleRetryAfter);
+        refuse(StatusUnavailable, FailureReason::StaleKeys, StaleRetryAfter);
         return false;
     }
-    refuse(StatusUnauthorized, Reason::UnknownKey, Duration(0));
+    refuse(StatusUnauthorized, FailureReason::UnknownKey, Duration(0));
     return false;
 }
 
@@ -133,10 +133,10 @@
     if (!customer_ || !tools_.allowances || customer_->allowance.perSecond <= 0) {
         return true;
     }
-    const AllowanceVerdict verdict = tools_.allowances->take(*customer_, cost());
-    if (!verdict.isAllowed) {
-        logAllowance(verdict);
-        refuse(StatusTooMany, Reason::OverAllowance, verdict.retryAfter);
+    const AllowanceDecision decision = tools_.allowances->take(*customer_, cost());
+    if (!decision.isAllowed) {
+        logAllowance(decision);
+        refuse(StatusTooMany, FailureReason::OverAllowance, decision.retryAfter);
         return false;
     }
     allowanceTaken_ = true;
@@ -202,7 +202,7 @@
     }
     const Choice choice = chooseServer();
     if (pick_ == VersionPick::OnTrial && choice.pick != pick_) {
-        tools_.versions->giveBack(service_, route_->name);
+        tools_.versions->cancelTrial(service_, route_->name);
     }
     // A repeat is for the caller's sake: it goes where most do.
     pick_ = VersionPick::Usual;
@@ -217,15 +217,15 @@
 void ForwardedRequest::endWithoutServer(const Choice &choice)
 {
     if (runs_ > 0) {
-        fail(StatusBadGateway, Reason::OutcomeUnknown);
+        fail(StatusBadGateway, FailureReason::OutcomeUnknown);
         return;
     }
     if (choice.limited > 0) {
-        const Duration back = forwarder_.returnTimes_.next(service_, choice.limitedPerSecond, tools_.loop->now());
-        refuse(StatusUnavailable, Reason::ServersLimited, back);
+        const Duration back = forwarder_.retryPacer_.next(service_, choice.limitedPerSecond, tools_.loop->now());
+        refuse(StatusUnavailable, FailureReason::ServersLimited, back);
         return;
     }
-    refuse(StatusUnavailable, sends_ == 0 ? Reason::NoServer : Reason::ServersFull, FullRetryAfter);
+    refuse(StatusUnavailable, sends_ == 0 ? FailureReason::NoServer : FailureReason::ServersFull, FullRetryAfter);
 }
 
 // Counted when a server is decided on, also for a moved run, which reaches it a little later.
--- a/src/forwarding/internal/forwardedrequest.h
+++ b/src/forwarding/internal/forwardedrequest.h
@@ -108,21 +108,21 @@
     void onDeadline();
     void onGone();
     void passAnswer();
-    void refuse(int status, Reason reason, Duration retryAfter);
-    void fail(int status, Reason reason);
+    void refuse(int status, FailureReason reason, Duration retryAfter);
+    void fail(int status, FailureReason reason);
     void finish();
     bool isStream() const;
     bool streamBegan() const;
     std::int64_t cost() const;
     /// Why a request that failed is not sent once more.
-    Reason endReason() const;
+    FailureReason endReason() const;
     void logDispatch(const Choice &choice) const;
     Duration timeLeft() const;
     std::int64_t millisecondsSince(TimePoint since) const;
     /// Time since the request arrived, when it has reached @p step.
     void observeStep(std::string_view step) const;
     void logAttempt(std::string_view outcome);
-    void logAllowance(const AllowanceVerdict &verdict) const;
+    void logAllowance(const AllowanceDecision &decision) const;
 
     Forwarder &forwarder_;
     std::shared_ptr<const ForwarderTools> shared_;
--- a/src/forwarding/internal/forwardedrequestanswer.cpp
+++ b/src/forwarding/internal/forwardedrequestanswer.cpp
@@ -116,7 +116,7 @@
 {
     if (streamBegan()) {
         // A resumed stream whose new server failed: the caller has seen a head already.
-        fail(StatusBadGateway, Reason::StreamBroken);
+        fail(StatusBadGateway, FailureReason::StreamBroken);
         return;
     }
     exchange_->answer(tools_.wire.writeAnswer(attempt_->head), attempt_->body);
@@ -137,10 +137,10 @@
         return;
     }
     if (streamBegan() || runs_ > 0) {
-        fail(StatusBadGateway, Reason::OutcomeUnknown);
+        fail(StatusBadGateway, FailureReason::OutcomeUnknown);
         return;
     }
-    refuse(StatusUnavailable, Reason::ServersFull, FullRetryAfter);
+    refuse(StatusUnavailable, FailureReason::ServersFull, FullRetryAfter);
 }
 
 void ForwardedRequest::onFailure(http1::CallFailure failure)
@@ -171,10 +171,10 @@
         return;
     }
     if (streamBegan() || runs_ > 0) {
-        fail(StatusBadGateway, Reason::OutcomeUnknown);
+        fail(StatusBadGateway, FailureReason::OutcomeUnknown);
         return;
     }
-    refuse(StatusUnavailable, Reason::NoServer, FullRetryAfter);
+    refuse(StatusUnavailable, FailureReason::NoServer, FullRetryAfter);
 }
 
 bool ForwardedRequest::isIdempotent() const
@@ -204,15 +204,15 @@
         repeat();
         return;
     }
-    fail(StatusBadGateway, streamBegan() ? Reason::StreamBroken : endReason());
+    fail(StatusBadGateway, streamBegan() ? FailureReason::StreamBroken : endReason());
 }
 
-Reason ForwardedRequest::endReason() const
+FailureReason ForwardedRequest::endReason() const
 {
     if (!isIdempotent()) {
-        return Reason::OutcomeUnknown;
+        return FailureReason::OutcomeUnknown;
     }
-    return mayRunAgain() ? Reason::RetryBudget : Reason::AttemptsUsed;
+    return mayRunAgain() ? FailureReason::RetryBudget : FailureReason::AttemptsUsed;
 }
 
 void ForwardedRequest::repeat()
--- a/src/forwarding/internal/forwardedrequestchoice.cpp
+++ b/src/forwarding/internal/forwardedrequestchoice.cpp
@@ -76,7 +76,7 @@
     const auto usable = tools_.directory->usable(service_);
     const std::vector<prefixindex::Holding> holdings = tools_.prefixes->holdings(prefixes_);
     // While a version is tried, the few servers that run it would be missed by a sample.
-    const bool isVersionTried = tools_.versions && tools_.versions->isUnderWay(service_);
+    const bool isVersionTried = tools_.versions && tools_.versions->isRolloutInProgress(service_);
     if (usable.size() > balancing::ShortListFigures().mostWhole && !isVersionTried) {
         Choice choice = chooseAmong(eligibleServers(shortList(usable, holdings), pick_), holdings);
         choice.pick = pick_;
@@ -117,7 +117,7 @@
         return false;
     }
     choice.limited++;
-    choice.limitedPerSecond += tools_.limits->ownPerSecond(instance);
+    choice.limitedPerSecond += tools_.limits->ownRequestsPerSecond(instance);
     return true;
 }
 
@@ -128,7 +128,7 @@
     if (const ServerEntry *entry = tools_.pool->find(known.server.instance)) {
         candidate.load = entry->load;
     }
-    candidate.load.promptTokensElsewhere = tools_.peerWork->waitingTokens(known.hash, tools_.loop->now());
+    candidate.load.promptTokensElsewhere = tools_.peerBacklog->waitingTokens(known.hash, tools_.loop->now());
     candidate.isOutlier = tools_.outliers->isOutlier(known.hash, service_);
     candidate.cachedTokens = prefixindex::heldTokens(holdings, known.hash);
     return candidate;
--- a/src/forwarding/internal/forwardedrequestend.cpp
+++ b/src/forwarding/internal/forwardedrequestend.cpp
@@ -42,10 +42,10 @@
         endAttempt(false);
     }
     if (runs_ > 0) {
-        fail(StatusGatewayTimeout, Reason::OutOfTime);
+        fail(StatusGatewayTimeout, FailureReason::OutOfTime);
         return;
     }
-    refuse(StatusUnavailable, Reason::OutOfTime, FullRetryAfter);
+    refuse(StatusUnavailable, FailureReason::OutOfTime, FullRetryAfter);
 }
 
 void ForwardedRequest::onGone()
@@ -64,10 +64,10 @@
     finish();
 }
 
-void ForwardedRequest::refuse(int status, Reason reason, Duration retryAfter)
+void ForwardedRequest::refuse(int status, FailureReason reason, Duration retryAfter)
 {
     if (allowanceTaken_) {
-        tools_.allowances->giveBack(*customer_, cost());
+        tools_.allowances->refund(*customer_, cost());
     }
     http1::ResponseHead head;
     head.status = status;
@@ -91,7 +91,7 @@
     finish();
 }
 
-void ForwardedRequest::fail(int status, Reason reason)
+void ForwardedRequest::fail(int status, FailureReason reason)
 {
     tools_.metrics->add(fmt::format("forwarding_failures_total{{reason=\"{}\"}}", reasonName(reason)));
     tools_.log->write(Event::RequestFailed,
@@ -170,7 +170,7 @@
     const auto &load = tools_.pool->load(server.instance);
     const auto age = tools_.manifests->age(tools_.loop->now());
     const auto listAge = tools_.directory->listAge(tools_.loop->now());
-    const auto perSecond = tools_.limits ? tools_.limits->perSecond(server.instance) : std::nullopt;
+    const auto perSecond = tools_.limits ? tools_.limits->requestsPerSecond(server.instance) : std::nullopt;
     const std::string limit = perSecond ? fmt::format("{}", *perSecond) : std::string();
     tools_.log->write(Event::RequestDispatched,
         {{Attribute::Request, request_.id},
@@ -200,16 +200,16 @@
             {Attribute::LeftMs, milliseconds(timeLeft())}});
 }
 
-void ForwardedRequest::logAllowance(const AllowanceVerdict &verdict) const
+void ForwardedRequest::logAllowance(const AllowanceDecision &decision) const
 {
     tools_.log->write(Event::AllowanceUsedUp,
         {{Attribute::Request, request_.id},
             {Attribute::Customer, customer_->name},
-            {Attribute::Tokens, verdict.asked},
-            {Attribute::Left, verdict.left},
-            {Attribute::LimitPerSecond, verdict.limitPerSecond},
-            {Attribute::HerePerSecond, verdict.hereAskedPerSecond},
-            {Attribute::ElsewherePerSecond, verdict.elsewhereAskedPerSecond}});
+            {Attribute::Tokens, decision.requested},
+            {Attribute::Left, decision.remaining},
+            {Attribute::LimitPerSecond, decision.limitPerSecond},
+            {Attribute::HerePerSecond, decision.localDemandPerSecond},
+            {Attribute::ElsewherePerSecond, decision.remoteDemandPerSecond}});
 }
 
 } // namespace cardamomlift::forwarding
--- a/src/forwarding/internal/forwardedrequestmove.cpp
+++ b/src/forwarding/internal/forwardedrequestmove.cpp
@@ -56,7 +56,7 @@
     move_ = Move{attempt_->server, to, nullptr, {}, false, false};
     move_->client = http1::CallClient::create(*tools_.loop, attempt_->server->server.endpoint, {}, MoveAnswerLimits);
     std::string body;
-    http1::RequestHead head = tools_.wire.writeMove({request_.id, to->server.endpoint}, body);
+    http1::RequestHead head = tools_.wire.writeKvMove({request_.id, to->server.endpoint}, body);
     tools_.log->write(Event::StreamMoved,
         {{Attribute::Request, request_.id},
             {Attribute::Server, attempt_->server->server.instance},
@@ -65,7 +65,7 @@
     move_->client->call(std::move(head), std::move(body), MoveTimeout, [weak = weak_from_this()](const http1::CallResult &result) {
         const auto self = weak.lock();
         if (self && !self->finished_ && self->move_) {
-            self->onMoved(result.isAnswered ? self->tools_.wire.readMove(result.response) : std::nullopt);
+            self->onMoved(result.isAnswered ? self->tools_.wire.readKvMove(result.response) : std::nullopt);
         }
     });
 }
@@ -95,7 +95,7 @@
     move_.reset();
     if (move.kvSource.empty()) {
         runs_++;
-        fail(StatusBadGateway, streamBegan() ? Reason::StreamBroken : Reason::OutcomeUnknown);
+        fail(StatusBadGateway, streamBegan() ? FailureReason::StreamBroken : FailureReason::OutcomeUnknown);
         return;
     }
     kvSource_ = move.kvSource;
--- a/src/forwarding/internal/forwarder.cpp
+++ b/src/forwarding/internal/forwarder.cpp
@@ -51,7 +51,7 @@
     }
 }
 
-void Forwarder::leaveOtherVersions(const std::string &service, const std::string &version, TimePoint stopAt)
+void Forwarder::moveRunsOffOtherVersions(const std::string &service, const std::string &version, TimePoint stopAt)
 {
     for (const auto &[instance, known] : tools_->directory->all()) {
         if (known->server.service != service || known->server.version == version) {
--- a/src/forwarding/internal/forwardingtypes.cpp
+++ b/src/forwarding/internal/forwardingtypes.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-constexpr std::array<std::string_view, static_cast<std::size_t>(Reason::Count)> ReasonNames{"no_manifest",
+constexpr std::array<std::string_view, static_cast<std::size_t>(FailureReason::Count)> ReasonNames{"no_manifest",
     "stale_keys",
     "no_route",
     "unknown_key",
@@ -23,7 +23,7 @@
 
 } // namespace
 
-std::string_view reasonName(Reason reason)
+std::string_view reasonName(FailureReason reason)
 {
     return ReasonNames[static_cast<std::size_t>(reason)];
 }
--- a/src/forwarding/internal/peerwork.cpp
+++ b/src/forwarding/internal/peerbacklog.cpp
@@ -1,4 +1,4 @@
-#include "forwarding/peerwork.h"
+#include "forwarding/peerbacklog.h"
 
 #include <algorithm>
 
@@ -12,7 +12,7 @@
 
 } // namespace
 
-void PeerWork::drop(const std::string &vm)
+void PeerBacklog::drop(const std::string &vm)
 {
     for (const std::uint64_t server : toldBy_[vm]) {
         const auto found = servers_.find(server);
@@ -27,7 +27,7 @@
     toldBy_.erase(vm);
 }
 
-void PeerWork::takeTold(const std::string &vm, std::span<const presence::ServerWork> works, TimePoint now)
+void PeerBacklog::update(const std::string &vm, std::span<const presence::ServerWork> works, TimePoint now)
 {
     drop(vm);
     for (const presence::ServerWork &work : works) {
@@ -36,7 +36,7 @@
     }
 }
 
-std::int64_t PeerWork::waitingTokens(std::uint64_t server, TimePoint now) const
+std::int64_t PeerBacklog::waitingTokens(std::uint64_t server, TimePoint now) const
 {
     const auto found = servers_.find(server);
     if (found == servers_.end()) {
--- a/src/forwarding/internal/returntimes.cpp
+++ b/src/forwarding/internal/retrypacer.cpp
@@ -1,4 +1,4 @@
-#include "forwarding/returntimes.h"
+#include "forwarding/retrypacer.h"
 
 #include <algorithm>
 
@@ -14,7 +14,7 @@
 
 } // namespace
 
-Duration ReturnTimes::next(const std::string &service, double perSecond, TimePoint now)
+Duration RetryPacer::next(const std::string &service, double perSecond, TimePoint now)
 {
     const double gap = std::min(MicrosecondsPerSecond / std::max(perSecond, 1e-3), static_cast<double>(MostReturn.count()));
     TimePoint &last = last_[service];
--- a/src/forwarding/peerwork.h
+++ b/src/forwarding/peerbacklog.h
@@ -14,11 +14,11 @@
 
 /// The prompt tokens that the other entry VMs have sent to backend servers and that wait to be read there, as they told.
 /// Without it, VMs whose own sends are few choose the same servers in the same moment.
-class PeerWork
+class PeerBacklog
 {
 public:
     /// @p vm's newest word; it replaces the one before.
-    void takeTold(const std::string &vm, std::span<const presence::ServerWork> works, TimePoint now);
+    void update(const std::string &vm, std::span<const presence::ServerWork> works, TimePoint now);
     /// What waits at the server with the hash @p server, less what it has likely read since it was told.
     std::int64_t waitingTokens(std::uint64_t server, TimePoint now) const;
 
--- a/src/forwarding/returntimes.h
+++ b/src/forwarding/retrypacer.h
@@ -9,7 +9,7 @@
 
 /// When callers that found no room at the limited servers of a service shall come back: one after the other, as fast as this
 /// VM may send to these servers. Callers told the same time would meet again, and most be refused again.
-class ReturnTimes
+class RetryPacer
 {
 public:
     /// The time from @p now after which the next caller returns. @p perSecond: requests that this VM may send.
--- a/src/forwarding/serverlimitgate.h
+++ b/src/forwarding/serverlimitgate.h
@@ -18,11 +18,11 @@
     /// A request goes to the server. Each send is counted, whatever it is for.
     virtual void noteSent(const std::string &instance) = 0;
     /// The server has answered a request that was sent to it at @p sentAt.
-    virtual void noteAnswer(const std::string &instance, const LimitStatement &statement, TimePoint sentAt) = 0;
+    virtual void noteAnswer(const std::string &instance, const AdvertisedLimit &statement, TimePoint sentAt) = 0;
     /// Requests a second that the server takes from all VMs; empty: it has named no limit.
-    virtual std::optional<double> perSecond(const std::string &instance) const = 0;
+    virtual std::optional<double> requestsPerSecond(const std::string &instance) const = 0;
     /// Requests a second that this VM may send to the server; 0 if it has named no limit.
-    virtual double ownPerSecond(const std::string &instance) const = 0;
+    virtual double ownRequestsPerSecond(const std::string &instance) const = 0;
 };
 
 } // namespace cardamomlift::forwarding
--- a/src/forwarding/tests/fixedversions.h
+++ b/src/forwarding/tests/fakeversiongate.h
@@ -8,7 +8,7 @@
 namespace cardamomlift::forwarding {
 
 /// What versions may get, set by a test: one version may be on trial, and the next requests may be picked for it.
-class FixedVersions : public VersionGate
+class FakeVersionGate : public VersionGate
 {
 public:
     VersionPick pick(const std::string &, const std::string &) override
@@ -16,9 +16,9 @@
         return nextPick;
     }
 
-    void giveBack(const std::string &, const std::string &) override
+    void cancelTrial(const std::string &, const std::string &) override
     {
-        givenBack++;
+        cancelledTrials++;
     }
 
     Eligibility eligibility(const directory::BackendServer &server, VersionPick pick) override
@@ -27,12 +27,12 @@
         return isOnTrial == (pick == VersionPick::OnTrial) ? Eligibility::Preferred : Eligibility::None;
     }
 
-    bool isUnderWay(std::string_view) const override
+    bool isRolloutInProgress(std::string_view) const override
     {
         return !versionOnTrial.empty();
     }
 
-    bool isUsable(const directory::BackendServer &server) override
+    bool servesRegularTraffic(const directory::BackendServer &server) override
     {
         return versionOnTrial.empty() || server.version != versionOnTrial;
     }
@@ -54,7 +54,7 @@
 
     std::string versionOnTrial;
     VersionPick nextPick = VersionPick::Usual;
-    int givenBack = 0;
+    int cancelledTrials = 0;
     int open = 0; ///< Sends that are not over.
     std::vector<std::string> outcomes; ///< "version answered" or "version failed", in order.
 };
--- a/src/forwarding/tests/forwarder_test.cpp
+++ b/src/forwarding/tests/forwarder_test.cpp
@@ -302,7 +302,7 @@
 
 TEST_F(ForwarderTest, WhatIsOverTheAllowanceIsRefusedWithTheTimeOfRoom)
 {
-    gate_->verdict = {false, milliseconds(750)};
+    gate_->decision = {false, milliseconds(750)};
     const auto client = call(request("/once/1"));
     ASSERT_TRUE(runUntil([&] { return answered(*client, "429"); }));
     EXPECT_NE(client->received().find("Retry-After: 0.750"), std::string::npos);
--- a/src/forwarding/tests/forwarderlimits_test.cpp
+++ b/src/forwarding/tests/forwarderlimits_test.cpp
@@ -34,7 +34,7 @@
 
     void limit(const std::string &instance, double perSecond)
     {
-        limits_->noteAnswer(instance, {LimitStatement::Kind::Limited, perSecond}, loop_->now());
+        limits_->noteAnswer(instance, {AdvertisedLimit::Kind::Limited, perSecond}, loop_->now());
     }
 
     void useUpRoom(const std::string &instance)
--- a/src/forwarding/tests/forwardertest.h
+++ b/src/forwarding/tests/forwardertest.h
@@ -27,21 +27,21 @@
 };
 
 /// What a customer's allowance says, set by the test.
-class FixedGate : public AllowanceGate
+class FakeAllowanceGate : public AllowanceGate
 {
 public:
-    AllowanceVerdict take(const manifest::Customer &, std::int64_t amount) override
+    AllowanceDecision take(const manifest::Customer &, std::int64_t amount) override
     {
         taken += amount;
-        return verdict;
+        return decision;
     }
 
-    void giveBack(const manifest::Customer &, std::int64_t amount) override
+    void refund(const manifest::Customer &, std::int64_t amount) override
     {
         taken -= amount;
     }
 
-    AllowanceVerdict verdict;
+    AllowanceDecision decision;
     std::int64_t taken = 0;
 };
 
@@ -67,7 +67,7 @@
         tools.metrics = metrics::Metrics::create();
         tools.demand = std::make_shared<ServiceDemand>();
         tools.outliers = outliers::OutlierDetector::create(*loop_, log_);
-        tools.peerWork = std::make_shared<PeerWork>();
+        tools.peerBacklog = std::make_shared<PeerBacklog>();
         tools.prefixes = prefixindex::PrefixIndex::create(*loop_);
         tools.allowances = gate_;
         tools.wire = platform::requestFormat();
@@ -267,7 +267,7 @@
     std::shared_ptr<directory::Directory> directory_;
     std::shared_ptr<ServerPool> pool_;
     std::shared_ptr<eventlog::EventLog> log_;
-    std::shared_ptr<FixedGate> gate_ = std::make_shared<FixedGate>();
+    std::shared_ptr<FakeAllowanceGate> gate_ = std::make_shared<FakeAllowanceGate>();
     ForwarderTools tools_;
     std::optional<std::size_t> vmCount_ = 1;
     std::shared_ptr<Forwarder> forwarder_;
--- a/src/forwarding/tests/forwarderversions_test.cpp
+++ b/src/forwarding/tests/forwarderversions_test.cpp
@@ -1,4 +1,4 @@
-#include "forwarding/tests/fixedversions.h"
+#include "forwarding/tests/fakeversiongate.h"
 #include "forwarding/tests/forwardertest.h"
 
 namespace cardamomlift::forwarding {
@@ -19,7 +19,7 @@
         manifests_->confirm(loop_->now());
     }
 
-    std::shared_ptr<FixedVersions> versions_ = std::make_shared<FixedVersions>();
+    std::shared_ptr<FakeVersionGate> versions_ = std::make_shared<FakeVersionGate>();
 };
 
 TEST_F(ForwarderVersionsTest, AVersionOnTrialGetsNoUsualRequest)
@@ -55,7 +55,7 @@
     const auto client = call(request("/safe/1"));
     next()->answer(signedHead(), "answer");
     ASSERT_TRUE(runUntil([&] { return answered(*client, "200"); }));
-    EXPECT_EQ(versions_->givenBack, 1);
+    EXPECT_EQ(versions_->cancelledTrials, 1);
 }
 
 TEST_F(ForwarderVersionsTest, ARequestWithoutAnAnswerInItsTimeCountsAsFailed)
--- a/src/forwarding/tests/peerwork_test.cpp
+++ b/src/forwarding/tests/peerbacklog_test.cpp
@@ -1,5 +1,5 @@
 #include "balancing/choose.h"
-#include "forwarding/peerwork.h"
+#include "forwarding/peerbacklog.h"
 
 #include <gtest/gtest.h>
 
@@ -19,24 +19,24 @@
     return {{Server, tokens}};
 }
 
-TEST(PeerWork, AddsUpWhatTheVmsToldAndFadesAsItIsRead)
+TEST(PeerBacklog, AddsUpWhatTheVmsToldAndFadesAsItIsRead)
 {
-    PeerWork work;
-    work.takeTold("a", told(30'000), Start);
-    work.takeTold("b", told(10'000), Start);
+    PeerBacklog work;
+    work.update("a", told(30'000), Start);
+    work.update("b", told(10'000), Start);
     EXPECT_EQ(work.waitingTokens(Server, Start), 40'000);
     EXPECT_EQ(work.waitingTokens(Server + 1, Start), 0);
     EXPECT_EQ(work.waitingTokens(Server, Start + milliseconds(250)), 20'000) << "a server reads about 40,000 a second";
     EXPECT_EQ(work.waitingTokens(Server, Start + std::chrono::seconds(5)), 0);
 }
 
-TEST(PeerWork, AVmsNewestWordReplacesTheOneBefore)
+TEST(PeerBacklog, AVmsNewestWordReplacesTheOneBefore)
 {
-    PeerWork work;
-    work.takeTold("a", told(30'000), Start);
-    work.takeTold("a", told(5'000), Start);
+    PeerBacklog work;
+    work.update("a", told(30'000), Start);
+    work.update("a", told(5'000), Start);
     EXPECT_EQ(work.waitingTokens(Server, Start), 5'000);
-    work.takeTold("a", {}, Start);
+    work.update("a", {}, Start);
     EXPECT_EQ(work.waitingTokens(Server, Start), 0);
 }
 
@@ -106,7 +106,7 @@
             }
             for (std::size_t other = 0; other < Vms; other++) {
                 if (other != vm) {
-                    works_[other].takeTold(std::to_string(vm), word, now);
+                    works_[other].update(std::to_string(vm), word, now);
                 }
             }
         }
@@ -131,13 +131,13 @@
     }
 
     bool tells_;
-    std::vector<PeerWork> works_; ///< By VM.
+    std::vector<PeerBacklog> works_; ///< By VM.
     std::vector<std::vector<std::vector<Prompt>>> waiting_; ///< By VM and engine.
     directory::KnownServer servers_[Engines];
     TimePoint freeAt_[Engines] = {};
 };
 
-TEST(PeerWork, VmsThatTellOfLongPromptsAreLateLessOften)
+TEST(PeerBacklog, VmsThatTellOfLongPromptsAreLateLessOften)
 {
     double alone = 0;
     double told = 0;
--- a/src/forwarding/versiongate.h
+++ b/src/forwarding/versiongate.h
@@ -29,12 +29,12 @@
     /// Counts a request to @p service. Asked once for each.
     virtual VersionPick pick(const std::string &service, const std::string &route) = 0;
     /// A request that was picked for a trial finds no server there.
-    virtual void giveBack(const std::string &service, const std::string &route) = 0;
+    virtual void cancelTrial(const std::string &service, const std::string &route) = 0;
     virtual Eligibility eligibility(const directory::BackendServer &server, VersionPick pick) = 0;
     /// Servers of two versions run side by side until an order to change the version is carried out.
-    virtual bool isUnderWay(std::string_view service) const = 0;
+    virtual bool isRolloutInProgress(std::string_view service) const = 0;
     /// Whether a server's version gets requests as all others do.
-    virtual bool isUsable(const directory::BackendServer &server) = 0;
+    virtual bool servesRegularTraffic(const directory::BackendServer &server) = 0;
     virtual void noteSent(const directory::BackendServer &server) = 0;
     /// A send is over, whatever it came to.
     virtual void noteEnded(const directory::BackendServer &server) = 0;
--- a/src/forwarding/wireformat.h
+++ b/src/forwarding/wireformat.h
@@ -48,14 +48,14 @@
 };
 
 /// What a backend server's answer says of a limit on its requests.
-struct LimitStatement {
+struct AdvertisedLimit {
     enum class Kind {
         Unknown, ///< Nothing that can be used: what was known stays.
         Unlimited,
         Limited,
     };
     Kind kind = Kind::Unknown;
-    double perSecond = 0; ///< If it is limited: the requests of all VMs together that it takes in a second; not negative.
+    double requestsPerSecond = 0; ///< If it is limited: the requests of all VMs together that it takes in a second; not negative.
 };
 
 /// What a backend server's answer says beside its status and body.
@@ -64,11 +64,11 @@
     bool isNotRun = false; ///< The server did not run the request and never will.
     bool isSigned = false; ///< It bears the server's signature over the body.
     std::optional<LoadReport> load;
-    LimitStatement limit;
+    AdvertisedLimit limit;
 };
 
 /// The order to a backend server to copy a run's KV cache to another one and to stop the run.
-struct MoveOrder {
+struct KvMoveRequest {
     std::string requestId;
     http1::Endpoint to;
 };
@@ -82,9 +82,9 @@
     /// The head for the caller: the server's, without what concerns one connection.
     http1::ResponseHead (*writeAnswer)(const http1::ResponseHead &head) = nullptr;
     /// The call of a move; its body is filled into @p body.
-    http1::RequestHead (*writeMove)(const MoveOrder &order, std::string &body) = nullptr;
+    http1::RequestHead (*writeKvMove)(const KvMoveRequest &order, std::string &body) = nullptr;
     /// The handle of the copy; empty if the move did not come about.
-    std::optional<std::string> (*readMove)(const http1::Response &response) = nullptr;
+    std::optional<std::string> (*readKvMove)(const http1::Response &response) = nullptr;
 };
 
 } // namespace cardamomlift::forwarding
--- a/src/rollout/internal/rolloutkeeper.cpp
+++ b/src/rollout/internal/rolloutkeeper.cpp
@@ -131,7 +131,7 @@
     return Eligibility::None;
 }
 
-bool RolloutKeeper::isUsable(const directory::BackendServer &server)
+bool RolloutKeeper::servesRegularTraffic(const directory::BackendServer &server)
 {
     const Standing standing = this->standing(server);
     return standing == Standing::Usable || standing == Standing::Preferred;
@@ -182,7 +182,7 @@
     return isOnTrial ? VersionPick::OnTrial : VersionPick::Usual;
 }
 
-void RolloutKeeper::giveBack(const std::string &service, const std::string &route)
+void RolloutKeeper::cancelTrial(const std::string &service, const std::string &route)
 {
     const auto found = services_.find(service);
     if (found != services_.end() && found->second.account) {
@@ -341,7 +341,7 @@
 void RolloutKeeper::fill(presence::Status &status) const
 {
     for (const auto &[service, state] : services_) {
-        if (!isUnderWay(service)) {
+        if (!isRolloutInProgress(service)) {
             continue;
         }
         presence::RolloutNews news;
@@ -407,7 +407,7 @@
 
 bool RolloutKeeper::isAnyUnderWay() const
 {
-    return std::any_of(services_.begin(), services_.end(), [this](const auto &entry) { return isUnderWay(entry.first); });
+    return std::any_of(services_.begin(), services_.end(), [this](const auto &entry) { return isRolloutInProgress(entry.first); });
 }
 
 bool RolloutKeeper::isRecordLost(std::string_view service) const
@@ -427,7 +427,7 @@
     return services;
 }
 
-bool RolloutKeeper::isUnderWay(std::string_view service) const
+bool RolloutKeeper::isRolloutInProgress(std::string_view service) const
 {
     const Order *order = tools_.orders->find(service);
     const Record *known = record(service);
--- a/src/rollout/rolloutjudgemodule.cpp
+++ b/src/rollout/rolloutjudgemodule.cpp
@@ -49,7 +49,7 @@
         tools.format = *context.get<StatusFormat>();
         context.set(RolloutJudge::start(std::move(tools)));
         keeper->onMoving([forwarder = context.get<forwarding::Forwarder>()](
-                             const Record &record, TimePoint stopAt) { forwarder->leaveOtherVersions(record.service, record.toVersion, stopAt); });
+                             const Record &record, TimePoint stopAt) { forwarder->moveRunsOffOtherVersions(record.service, record.toVersion, stopAt); });
         return success();
     }
 };
--- a/src/rollout/rolloutkeeper.h
+++ b/src/rollout/rolloutkeeper.h
@@ -48,10 +48,10 @@
     static std::shared_ptr<RolloutKeeper> create(KeeperTools tools);
 
     forwarding::VersionPick pick(const std::string &service, const std::string &route) override;
-    void giveBack(const std::string &service, const std::string &route) override;
+    void cancelTrial(const std::string &service, const std::string &route) override;
     forwarding::Eligibility eligibility(const directory::BackendServer &server, forwarding::VersionPick pick) override;
-    bool isUnderWay(std::string_view service) const override;
-    bool isUsable(const directory::BackendServer &server) override;
+    bool isRolloutInProgress(std::string_view service) const override;
+    bool servesRegularTraffic(const directory::BackendServer &server) override;
     void noteSent(const directory::BackendServer &server) override;
     void noteEnded(const directory::BackendServer &server) override;
     void noteOutcome(const directory::BackendServer &server, const std::string &route, std::optional<Duration> firstByteAfter) override;
--- a/src/rollout/tests/rolloutkeeper_test.cpp
+++ b/src/rollout/tests/rolloutkeeper_test.cpp
@@ -251,7 +251,7 @@
     EXPECT_EQ(eligibility("new-1"), Eligibility::None);
     EXPECT_EQ(eligibility("old-1"), Eligibility::Preferred);
     EXPECT_EQ(picked(200), 0);
-    EXPECT_FALSE(keeper_->isUnderWay(Service));
+    EXPECT_FALSE(keeper_->isRolloutInProgress(Service));
 }
 
 TEST_F(RolloutKeeperTest, ALateRecordChangesNothing)
--- a/src/serverlimits/internal/serverlimitkeeper.cpp
+++ b/src/serverlimits/internal/serverlimitkeeper.cpp
@@ -12,7 +12,7 @@
 
 using eventlog::Attribute;
 using eventlog::Event;
-using forwarding::LimitStatement;
+using forwarding::AdvertisedLimit;
 
 /// More than all VMs are built to pass on: such a limit binds nobody, and its turns would only cost time.
 constexpr double MostPerSecond = 10'000;
@@ -70,15 +70,15 @@
     }
 }
 
-void ServerLimitKeeper::noteAnswer(const std::string &instance, const LimitStatement &statement, TimePoint sentAt)
+void ServerLimitKeeper::noteAnswer(const std::string &instance, const AdvertisedLimit &statement, TimePoint sentAt)
 {
-    if (statement.kind == LimitStatement::Kind::Unknown) {
+    if (statement.kind == AdvertisedLimit::Kind::Unknown) {
         return;
     }
     const std::uint64_t server = presence::nameHash(instance);
-    const bool isLimited = statement.kind == LimitStatement::Kind::Limited && statement.perSecond <= MostPerSecond;
+    const bool isLimited = statement.kind == AdvertisedLimit::Kind::Limited && statement.requestsPerSecond <= MostPerSecond;
     if (isLimited || mayEnd(server, sentAt)) {
-        take({server, isLimited, statement.perSecond, tools_.loop->now(), {}});
+        take({server, isLimited, statement.requestsPerSecond, tools_.loop->now(), {}});
     }
 }
 
@@ -98,13 +98,13 @@
     return tools_.loop->now() - known.changedAt < EndToldFor;
 }
 
-std::optional<double> ServerLimitKeeper::perSecond(const std::string &instance) const
+std::optional<double> ServerLimitKeeper::requestsPerSecond(const std::string &instance) const
 {
     const Known *known = limited(instance);
     return known ? std::optional(known->book.perSecond) : std::nullopt;
 }
 
-double ServerLimitKeeper::ownPerSecond(const std::string &instance) const
+double ServerLimitKeeper::ownRequestsPerSecond(const std::string &instance) const
 {
     const Known *known = limited(instance);
     return known && !vms_.empty() ? known->book.perSecond / static_cast<double>(vms_.size()) : 0;
--- a/src/serverlimits/serverlimitkeeper.h
+++ b/src/serverlimits/serverlimitkeeper.h
@@ -36,9 +36,9 @@
 
     bool hasRoom(const std::string &instance) override;
     void noteSent(const std::string &instance) override;
-    void noteAnswer(const std::string &instance, const forwarding::LimitStatement &statement, TimePoint sentAt) override;
-    std::optional<double> perSecond(const std::string &instance) const override;
-    double ownPerSecond(const std::string &instance) const override;
+    void noteAnswer(const std::string &instance, const forwarding::AdvertisedLimit &statement, TimePoint sentAt) override;
+    std::optional<double> requestsPerSecond(const std::string &instance) const override;
+    double ownRequestsPerSecond(const std::string &instance) const override;
 
     /// What the other VMs should hear: limits of which this VM has the newest word.
     std::vector<presence::ServerLimit> told() const;
--- a/src/serverlimits/tests/serverlimitkeeper_test.cpp
+++ b/src/serverlimits/tests/serverlimitkeeper_test.cpp
@@ -6,16 +6,16 @@
 
 namespace {
 
-using forwarding::LimitStatement;
+using forwarding::AdvertisedLimit;
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-const LimitStatement Unlimited{LimitStatement::Kind::Unlimited, 0};
-const LimitStatement Unknown{};
+const AdvertisedLimit Unlimited{AdvertisedLimit::Kind::Unlimited, 0};
+const AdvertisedLimit Unknown{};
 
-LimitStatement limited(double perSecond)
+AdvertisedLimit limited(double perSecond)
 {
-    return {LimitStatement::Kind::Limited, perSecond};
+    return {AdvertisedLimit::Kind::Limited, perSecond};
 }
 
 /// Two VMs before one server, on a paused clock.
@@ -105,15 +105,15 @@
 {
     one_->noteAnswer("server", Unlimited, now());
     EXPECT_TRUE(one_->hasRoom("server"));
-    EXPECT_FALSE(one_->perSecond("server"));
+    EXPECT_FALSE(one_->requestsPerSecond("server"));
     EXPECT_TRUE(one_->told().empty());
 }
 
 TEST_F(ServerLimitKeeperTest, AVmGetsItsPartOfTheLimit)
 {
     one_->noteAnswer("server", limited(1), now());
-    EXPECT_EQ(one_->perSecond("server"), 1);
-    EXPECT_EQ(one_->ownPerSecond("server"), 0.5);
+    EXPECT_EQ(one_->requestsPerSecond("server"), 1);
+    EXPECT_EQ(one_->ownRequestsPerSecond("server"), 0.5);
     EXPECT_NEAR(sent(*one_, seconds(200)), 100, 25);
 }
 
@@ -121,7 +121,7 @@
 {
     one_->noteAnswer("server", limited(1), now());
     tell(*one_, *two_);
-    EXPECT_EQ(two_->perSecond("server"), 1);
+    EXPECT_EQ(two_->requestsPerSecond("server"), 1);
     EXPECT_TRUE(two_->told().empty()) << "who heard it tells it";
 }
 
@@ -132,9 +132,9 @@
     pass(milliseconds(100));
     two_->noteAnswer("server", limited(2), now());
     two_->takeTold("one", one_->told());
-    EXPECT_EQ(two_->perSecond("server"), 2);
+    EXPECT_EQ(two_->requestsPerSecond("server"), 2);
     tell(*two_, *one_);
-    EXPECT_EQ(one_->perSecond("server"), 2);
+    EXPECT_EQ(one_->requestsPerSecond("server"), 2);
     EXPECT_TRUE(one_->told().empty()) << "its own word is no longer the newest";
 }
 
@@ -144,12 +144,12 @@
     pass(milliseconds(100));
     one_->noteAnswer("server", limited(1), now());
     one_->noteAnswer("server", Unlimited, before);
-    EXPECT_TRUE(one_->perSecond("server")) << "that answer may have been made before";
+    EXPECT_TRUE(one_->requestsPerSecond("server")) << "that answer may have been made before";
     one_->noteAnswer("server", Unknown, now());
-    EXPECT_TRUE(one_->perSecond("server"));
+    EXPECT_TRUE(one_->requestsPerSecond("server"));
     pass(milliseconds(100));
     one_->noteAnswer("server", Unlimited, now());
-    EXPECT_FALSE(one_->perSecond("server"));
+    EXPECT_FALSE(one_->requestsPerSecond("server"));
     EXPECT_TRUE(one_->hasRoom("server"));
 }
 
@@ -159,11 +159,11 @@
     tell(*one_, *two_);
     pass(seconds(1));
     two_->noteAnswer("server", Unlimited, now());
-    EXPECT_FALSE(two_->perSecond("server"));
+    EXPECT_FALSE(two_->requestsPerSecond("server"));
     tell(*one_, *two_);
-    EXPECT_FALSE(two_->perSecond("server"));
+    EXPECT_FALSE(two_->requestsPerSecond("server"));
     tell(*two_, *one_);
-    EXPECT_FALSE(one_->perSecond("server")) << "the end is told too";
+    EXPECT_FALSE(one_->requestsPerSecond("server")) << "the end is told too";
 }
 
 TEST_F(ServerLimitKeeperTest, AnEndThatWasOnItsWayDoesNotEndALimitThatWasNamedAnew)
@@ -177,7 +177,7 @@
     two_->noteAnswer("server", limited(1), now());
     pass(milliseconds(100));
     two_->takeTold("one", end);
-    EXPECT_TRUE(two_->perSecond("server"));
+    EXPECT_TRUE(two_->requestsPerSecond("server"));
 }
 
 TEST_F(ServerLimitKeeperTest, AnEndIsBelievedAfterFurtherAnswers)
@@ -188,11 +188,11 @@
     pass(milliseconds(50));
     one_->noteAnswer("server", Unlimited, now());
     tell(*one_, *two_);
-    EXPECT_TRUE(two_->perSecond("server")) << "it may be the older of the two";
+    EXPECT_TRUE(two_->requestsPerSecond("server")) << "it may be the older of the two";
     pass(milliseconds(500));
     one_->noteAnswer("server", Unlimited, now());
     tell(*one_, *two_);
-    EXPECT_FALSE(two_->perSecond("server"));
+    EXPECT_FALSE(two_->requestsPerSecond("server"));
 }
 
 TEST_F(ServerLimitKeeperTest, AnEndIsToldForAWhileOnly)
