--- a/src/bench/rollout/main.cpp
+++ b/src/bench/rollout/main.cpp
@@ -29,9 +29,9 @@
     double endedSeconds = 0;
 };
 
-bool leftLate(const model::Outcome &outcome)
+bool leftLate(const model::SimulationResult &outcome)
 {
-    return outcome.fiftiethBadAt && outcome.lastSendAt && *outcome.lastSendAt - *outcome.fiftiethBadAt > Bounds().rollbackWithin;
+    return outcome.fiftiethBadAt && outcome.lastSendAt && *outcome.lastSendAt - *outcome.fiftiethBadAt > RolloutLimits().rollbackWithin;
 }
 
 Result play(const Cell &cell, int from, int to)
@@ -40,7 +40,7 @@
     for (int seed = from; seed < to; seed++) {
         model::Scenario scenario = cell.scenario;
         scenario.seed = static_cast<std::uint64_t>(seed) + 1;
-        const model::Outcome outcome = model::Play(scenario).run();
+        const model::SimulationResult outcome = model::Simulation(scenario).run();
         const bool isBad = scenario.fault != model::Fault::None;
         result.plays++;
         result.succeeded += outcome.phase == Phase::Succeeded ? 1 : 0;
@@ -74,14 +74,14 @@
 }
 
 /// The way of many tools: after twenty answers of the new version more than a tenth worse is bad, else good.
-Verdict byFixedThreshold(const Evidence &all, std::span<const Evidence>)
+Verdict byFixedThreshold(const RolloutOutcomes &all, std::span<const RolloutOutcomes>)
 {
     constexpr std::uint64_t Enough = 20;
     constexpr double Worse = 0.1;
-    Counts usual;
-    Counts trial;
+    OutcomeCounts usual;
+    OutcomeCounts trial;
     for (const auto &[route, evidence] : all) {
-        usual += evidence.usual;
+        usual += evidence.baseline;
         for (const auto &[server, counts] : evidence.trial) {
             trial += counts;
         }
@@ -99,9 +99,9 @@
 }
 
 /// The likelihood ratio over all that was seen, without the last seconds by themselves.
-Verdict byWholeTrial(const Evidence &all, std::span<const Evidence>)
+Verdict byWholeTrial(const RolloutOutcomes &all, std::span<const RolloutOutcomes>)
 {
-    return judge(all, {});
+    return evaluateTrial(all, {});
 }
 
 std::vector<Cell> cellsOf(const model::Scenario &base)
@@ -114,7 +114,7 @@
         cells.push_back(cell);
     };
     add("good", [](model::Scenario &) {});
-    add("good, 30 s", [](model::Scenario &scenario) { scenario.length = std::chrono::seconds(30); });
+    add("good, 30 s", [](model::Scenario &scenario) { scenario.timeLimit = std::chrono::seconds(30); });
     add("good, one grey server", [](model::Scenario &scenario) { scenario.noise.hasGreyServer = true; });
     add("good, one crashes", [](model::Scenario &scenario) { scenario.noise.hasCrash = true; });
     add("good, in a burst", [](model::Scenario &scenario) { scenario.noise.hasBurst = true; });
@@ -163,7 +163,7 @@
         std::string_view name;
         decltype(model::Scenario::rule) rule;
     };
-    const std::array<Rule, 3> rules{Rule{"in use", judge}, Rule{"whole trial", byWholeTrial}, Rule{"threshold", byFixedThreshold}};
+    const std::array<Rule, 3> rules{Rule{"in use", evaluateTrial}, Rule{"whole trial", byWholeTrial}, Rule{"threshold", byFixedThreshold}};
     int broken = 0;
     fmt::print(
         "{:<12} {:<21} {:<23} {:>9} {:>11} {:>9} {:>8} {:>7}\n", "rule", "site", "version", "succeeded", "overexposed", "left late", "exposed", "ended s");
@@ -173,7 +173,7 @@
             for (const Cell &cell : cellsOf(site.scenario)) {
                 const Result result = playAll(cell, seeds);
                 const double plays = std::max(1, result.plays);
-                broken += rule.rule == judge ? result.overExposed + result.leftLate : 0;
+                broken += rule.rule == evaluateTrial ? result.overExposed + result.leftLate : 0;
                 fmt::print("{:<12} {:<21} {:<23} {:>9.4f} {:>11} {:>9} {:>8.0f} {:>7.2f}\n",
                     rule.name,
                     site.name,
--- a/src/duties/dutiesmodule.cpp
+++ b/src/duties/dutiesmodule.cpp
@@ -32,7 +32,7 @@
         const auto api = context.find<DutyApi>();
         const auto settings = context.get<settings::Settings>();
         // Rollouts are decided by the holder of the lease, also where nothing is ordered or reported.
-        if (!api && !settings->routes->rollouts.inForce) {
+        if (!api && !settings->routes->rollouts.isEnabled) {
             return success();
         }
         LeaseTools leaseTools;
--- a/src/rollout/exposureaccount.h
+++ b/src/rollout/exposurebudget.h
@@ -10,16 +10,16 @@
 
 /// What one VM may still send to a version on trial. Each VM spends a part of the requests that it passes on itself, so the
 /// sum over all VMs keeps the bound without a word between them: when VMs are cut off, end or are added.
-class ExposureAccount
+class ExposureBudget
 {
 public:
     /// @p vms: how many share the slack; 0: this VM takes no part of it, since it may have spent that before it was restarted.
     /// @p draw: between 0 and 1, evenly over VMs, so that the VMs do not all begin, or all
     /// wait, when the slack is less than one request for each.
-    static ExposureAccount create(const Bounds &bounds, std::size_t vms, double draw);
+    static ExposureBudget create(const RolloutLimits &limits, std::size_t vms, double draw);
 
     /// A request of @p route goes to a server of the service, of whatever version.
-    void earn(std::uint64_t route);
+    void addRequest(std::uint64_t route);
     /// Asked for such a request: true if it shall go to the version on trial.
     bool take(std::uint64_t route);
     /// The request did not go there after all.
--- a/src/rollout/internal/exposureaccount.cpp
+++ b/src/rollout/internal/exposurebudget.cpp
@@ -1,4 +1,4 @@
-#include "rollout/exposureaccount.h"
+#include "rollout/exposurebudget.h"
 
 #include <algorithm>
 #include <cmath>
@@ -23,24 +23,24 @@
 
 } // namespace
 
-ExposureAccount ExposureAccount::create(const Bounds &bounds, std::size_t vms, double draw)
+ExposureBudget ExposureBudget::create(const RolloutLimits &limits, std::size_t vms, double draw)
 {
-    ExposureAccount account;
-    account.perRequest_ = bounds.exposureShare * SpentShare;
-    const double slack = vms == 0 ? 0 : bounds.exposureSlack * SpentSlack / static_cast<double>(vms);
+    ExposureBudget budget;
+    budget.perRequest_ = limits.exposureShare * SpentShare;
+    const double slack = vms == 0 ? 0 : limits.exposureSlack * SpentSlack / static_cast<double>(vms);
     const double whole = std::floor(slack);
-    account.credit_ = std::min(MostCredit, whole + (draw < slack - whole ? 1 : 0));
-    return account;
+    budget.credit_ = std::min(MostCredit, whole + (draw < slack - whole ? 1 : 0));
+    return budget;
 }
 
-void ExposureAccount::earn(std::uint64_t route)
+void ExposureBudget::addRequest(std::uint64_t route)
 {
     credit_ = std::min(MostCredit, credit_ + perRequest_);
     routes_[route].seen++;
 }
 
 // Whether the route has had less than its part of the trial.
-bool ExposureAccount::isDue(const RouteUse &use) const
+bool ExposureBudget::isDue(const RouteUse &use) const
 {
     double weights = 0;
     std::uint64_t taken = 0;
@@ -52,7 +52,7 @@
     return static_cast<double>(use.taken) <= part * static_cast<double>(taken);
 }
 
-bool ExposureAccount::take(std::uint64_t route)
+bool ExposureBudget::take(std::uint64_t route)
 {
     RouteUse &use = routes_[route];
     const bool mayTake = credit_ >= AnyRoute || (credit_ >= 1 && isDue(use));
@@ -64,7 +64,7 @@
     return true;
 }
 
-void ExposureAccount::giveBack(std::uint64_t route)
+void ExposureBudget::giveBack(std::uint64_t route)
 {
     credit_ = std::min(MostCredit, credit_ + 1);
     std::uint64_t &taken = routes_[route].taken;
--- a/src/rollout/internal/orderbook.cpp
+++ b/src/rollout/internal/ordercache.cpp
@@ -1,15 +1,15 @@
-#include "rollout/orderbook.h"
+#include "rollout/ordercache.h"
 
 #include <algorithm>
 
 namespace cardamomlift::rollout {
 
-std::shared_ptr<OrderBook> OrderBook::create()
+std::shared_ptr<OrderCache> OrderCache::create()
 {
-    return std::shared_ptr<OrderBook>(new OrderBook);
+    return std::shared_ptr<OrderCache>(new OrderCache);
 }
 
-void OrderBook::put(Order order)
+void OrderCache::put(Order order)
 {
     if (isKnown(order)) {
         return;
@@ -22,7 +22,7 @@
     }
 }
 
-bool OrderBook::isKnown(const Order &order)
+bool OrderCache::isKnown(const Order &order)
 {
     const Order *known = find(order.service);
     if (!known) {
@@ -32,7 +32,7 @@
     if (order.id.era <= readAs.era) {
         return order.id <= readAs;
     }
-    const bool isWrittenAgain = order.toVersion == known->toVersion && order.length == known->length;
+    const bool isWrittenAgain = order.toVersion == known->toVersion && order.timeLimit == known->timeLimit;
     if (isWrittenAgain) {
         readAs = order.id;
     }
@@ -40,14 +40,14 @@
     return isWrittenAgain || order.id.number <= readAs.number;
 }
 
-void OrderBook::remove(std::string_view service)
+void OrderCache::remove(std::string_view service)
 {
     if (const auto found = orders_.find(service); found != orders_.end()) {
         orders_.erase(found);
     }
 }
 
-void OrderBook::replaceAll(std::span<const Order> orders)
+void OrderCache::replaceAll(std::span<const Order> orders)
 {
     std::erase_if(orders_, [orders](const auto &entry) {
         return std::none_of(orders.begin(), orders.end(), [&entry](const Order &order) { return order.service == entry.first; });
@@ -57,28 +57,28 @@
     }
 }
 
-void OrderBook::noteKnownUpTo(rows::StoreVersion rowVersion)
+void OrderCache::noteKnownUpTo(rows::StoreVersion rowVersion)
 {
     knownUpTo_ = std::max(knownUpTo_, rowVersion);
 }
 
-const Order *OrderBook::find(std::string_view service) const
+const Order *OrderCache::find(std::string_view service) const
 {
     const auto found = orders_.find(service);
     return found == orders_.end() ? nullptr : &found->second;
 }
 
-const std::map<std::string, Order, std::less<>> &OrderBook::all() const
+const std::map<std::string, Order, std::less<>> &OrderCache::all() const
 {
     return orders_;
 }
 
-rows::StoreVersion OrderBook::knownUpTo() const
+rows::StoreVersion OrderCache::knownUpTo() const
 {
     return knownUpTo_;
 }
 
-void OrderBook::onOrder(std::function<void(const Order &order)> handler)
+void OrderCache::onOrder(std::function<void(const Order &order)> handler)
 {
     handlers_.push_back(std::move(handler));
 }
--- a/src/rollout/internal/rolloutkeeper.cpp
+++ b/src/rollout/internal/rolloutagent.cpp
@@ -1,4 +1,4 @@
-#include "rollout/rolloutkeeper.h"
+#include "rollout/rolloutagent.h"
 
 #include "rollout/rolloutplan.h"
 #include "rollout/verdictrules.h"
@@ -39,44 +39,44 @@
 
 } // namespace
 
-RolloutKeeper::RolloutKeeper(KeeperTools tools)
+RolloutAgent::RolloutAgent(AgentTools tools)
     : tools_(std::move(tools))
 {
 }
 
-std::shared_ptr<RolloutKeeper> RolloutKeeper::create(KeeperTools tools)
+std::shared_ptr<RolloutAgent> RolloutAgent::create(AgentTools tools)
 {
-    std::shared_ptr<RolloutKeeper> keeper(new RolloutKeeper(std::move(tools)));
-    RolloutKeeper *raw = keeper.get();
+    std::shared_ptr<RolloutAgent> agent(new RolloutAgent(std::move(tools)));
+    RolloutAgent *raw = agent.get();
     for (const auto &[service, order] : raw->tools_.orders->all()) {
         raw->onOrder(order);
     }
-    raw->tools_.orders->onOrder([weak = std::weak_ptr<RolloutKeeper>(keeper)](const Order &order) {
+    raw->tools_.orders->onOrder([weak = std::weak_ptr<RolloutAgent>(agent)](const Order &order) {
         if (const auto self = weak.lock()) {
             self->onOrder(order);
         }
     });
-    return keeper;
+    return agent;
 }
 
-void RolloutKeeper::onOrder(const Order &order)
+void RolloutAgent::onOrder(const Order &order)
 {
     ServiceState &state = services_[order.service];
     tools_.log->write(Event::RolloutOrdered,
         {{Attribute::Service, order.service},
             {Attribute::Software, order.toVersion},
             {Attribute::Order, static_cast<std::int64_t>(order.id.number)},
-            {Attribute::LeftMs, milliseconds(order.length)}});
+            {Attribute::LeftMs, milliseconds(order.timeLimit)}});
     state.countedFor = order.id;
     const std::size_t sharers = tools_.upFor() < YoungFor ? 0 : tools_.vmCount().value_or(0);
-    state.account = ExposureAccount::create(tools_.bounds, sharers, drawOf(tools_.instance, order.id));
+    state.budget = ExposureBudget::create(tools_.limits, sharers, drawOf(tools_.instance, order.id));
     state.own.clear();
     state.told.clear();
     state.looksBad = false;
 }
 
 // An order stands in the store before the servers that it is about: what is known up to a server's entry decides.
-bool RolloutKeeper::isVersionKnown(ServiceState &state, const directory::BackendServer &server) const
+bool RolloutAgent::isVersionKnown(ServiceState &state, const directory::BackendServer &server) const
 {
     if (server.version.empty() || state.metVersions.contains(server.version)) {
         return true;
@@ -88,16 +88,16 @@
     return true;
 }
 
-Standing RolloutKeeper::standing(const directory::BackendServer &server)
+VersionState RolloutAgent::versionState(const directory::BackendServer &server)
 {
     ServiceState &state = services_[server.service];
     if (!isVersionKnown(state, server)) {
-        return Standing::Excluded;
+        return VersionState::Excluded;
     }
-    return standingOf(server.version, tools_.orders->find(server.service), state.record ? &*state.record : nullptr);
+    return versionStateOf(server.version, tools_.orders->find(server.service), state.record ? &*state.record : nullptr);
 }
 
-Eligibility RolloutKeeper::eligibility(const directory::BackendServer &server, VersionPick pick)
+Eligibility RolloutAgent::eligibility(const directory::BackendServer &server, VersionPick pick)
 {
     const ServiceState &known = services_[server.service];
     const Order *order = tools_.orders->find(server.service);
@@ -105,45 +105,45 @@
         // Asked for each server of each request, nearly always outside of rollouts.
         return Eligibility::Preferred;
     }
-    const Standing standing = this->standing(server);
+    const VersionState versionState = this->versionState(server);
     const bool isFirstVersion = known.metVersions.empty() && !order;
     if (isFirstVersion && pick == VersionPick::Usual) {
         // This process has just begun: a server whose orders are not known yet is better than none.
         return Eligibility::Fallback;
     }
     if (pick == VersionPick::OnTrial) {
-        if (standing != Standing::OnTrial) {
+        if (versionState != VersionState::OnTrial) {
             return Eligibility::None;
         }
         return services_[server.service].chosen.contains(server.instance) ? Eligibility::Preferred : Eligibility::Fallback;
     }
     const ServiceState &state = services_[server.service];
     const bool isMoving = state.record && state.record->phase == Phase::Moving;
-    switch (standing) {
-    case Standing::Preferred:
+    switch (versionState) {
+    case VersionState::Preferred:
         return Eligibility::Preferred;
-    case Standing::Usable:
+    case VersionState::Usable:
         return isMoving ? Eligibility::Fallback : Eligibility::Preferred;
-    case Standing::OnTrial:
-    case Standing::Excluded:
+    case VersionState::OnTrial:
+    case VersionState::Excluded:
         return Eligibility::None;
     }
     return Eligibility::None;
 }
 
-bool RolloutKeeper::isUsable(const directory::BackendServer &server)
+bool RolloutAgent::isUsable(const directory::BackendServer &server)
 {
-    const Standing standing = this->standing(server);
-    return standing == Standing::Usable || standing == Standing::Preferred;
+    const VersionState versionState = this->versionState(server);
+    return versionState == VersionState::Usable || versionState == VersionState::Preferred;
 }
 
-std::string_view RolloutKeeper::pauseReason(const ServiceState &state) const
+std::string_view RolloutAgent::pauseReason(const ServiceState &state) const
 {
     const auto confirmedAt = tools_.recordsConfirmedAt();
     if (!confirmedAt || tools_.loop->now() - *confirmedAt > RecordsFreshFor) {
         return "stale";
     }
-    if (!tools_.hearsJudge()) {
+    if (!tools_.hearsController()) {
         return "no_judge";
     }
     if (state.looksBad) {
@@ -153,10 +153,10 @@
     return !storeNow || *storeNow >= state.record->endsAt ? "time_over" : std::string_view();
 }
 
-bool RolloutKeeper::mayTry(const std::string &service, ServiceState &state)
+bool RolloutAgent::mayTry(const std::string &service, ServiceState &state)
 {
     const Order *order = tools_.orders->find(service);
-    if (!order || !state.record || state.record->order != order->id || state.record->phase != Phase::Trial) {
+    if (!order || !state.record || state.record->orderId != order->id || state.record->phase != Phase::Trial) {
         return false;
     }
     const std::string_view reason = pauseReason(state);
@@ -170,32 +170,32 @@
     return reason.empty();
 }
 
-VersionPick RolloutKeeper::pick(const std::string &service, const std::string &route)
+VersionPick RolloutAgent::pick(const std::string &service, const std::string &route)
 {
     const auto found = services_.find(service);
-    if (found == services_.end() || !found->second.account) {
+    if (found == services_.end() || !found->second.budget) {
         return VersionPick::Usual;
     }
     ServiceState &state = found->second;
-    state.account->earn(presence::nameHash(route));
-    const bool isOnTrial = mayTry(service, state) && chooseTrialServers(service, state) && state.account->take(presence::nameHash(route));
+    state.budget->addRequest(presence::nameHash(route));
+    const bool isOnTrial = mayTry(service, state) && chooseTrialServers(service, state) && state.budget->take(presence::nameHash(route));
     return isOnTrial ? VersionPick::OnTrial : VersionPick::Usual;
 }
 
-void RolloutKeeper::giveBack(const std::string &service, const std::string &route)
+void RolloutAgent::giveBack(const std::string &service, const std::string &route)
 {
     const auto found = services_.find(service);
-    if (found != services_.end() && found->second.account) {
-        found->second.account->giveBack(presence::nameHash(route));
+    if (found != services_.end() && found->second.budget) {
+        found->second.budget->giveBack(presence::nameHash(route));
     }
 }
 
-std::vector<std::string> RolloutKeeper::trialServers(const std::string &service)
+std::vector<std::string> RolloutAgent::trialServers(const std::string &service)
 {
     std::vector<std::string> servers;
     for (const auto &known : tools_.directory->usable(service)) {
         const bool isCold = known->server.coldUntil && tools_.loop->now() < *known->server.coldUntil;
-        if (!isCold && standing(known->server) == Standing::OnTrial) {
+        if (!isCold && versionState(known->server) == VersionState::OnTrial) {
             servers.push_back(known->server.instance);
         }
     }
@@ -203,10 +203,10 @@
 }
 
 // The same on all VMs, but for the edges of a slice.
-bool RolloutKeeper::chooseTrialServers(const std::string &service, ServiceState &state)
+bool RolloutAgent::chooseTrialServers(const std::string &service, ServiceState &state)
 {
     std::vector<std::string> servers = trialServers(service);
-    const TrialSlice slice = trialSlice(tools_.storeNow().value_or(Duration(0)), servers.size(), tools_.bounds.exposureShare);
+    const TrialSlice slice = trialSlice(tools_.storeNow().value_or(Duration(0)), servers.size(), tools_.limits.exposureShare);
     if (servers.empty() || !slice.isOpen) {
         return false;
     }
@@ -219,7 +219,7 @@
     return true;
 }
 
-void RolloutKeeper::noteSent(const directory::BackendServer &server)
+void RolloutAgent::noteSent(const directory::BackendServer &server)
 {
     ServiceState &state = services_[server.service];
     state.open[server.version]++;
@@ -229,17 +229,17 @@
     }
 }
 
-void RolloutKeeper::noteEnded(const directory::BackendServer &server)
+void RolloutAgent::noteEnded(const directory::BackendServer &server)
 {
     int &open = services_[server.service].open[server.version];
     open = std::max(0, open - 1);
 }
 
-void RolloutKeeper::noteOutcome(const directory::BackendServer &server, const std::string &route, std::optional<Duration> firstByteAfter)
+void RolloutAgent::noteOutcome(const directory::BackendServer &server, const std::string &route, std::optional<Duration> firstByteAfter)
 {
     ServiceState &state = services_[server.service];
     const Order *order = tools_.orders->find(server.service);
-    const bool isCounted = order && order->id == state.countedFor && state.record && state.record->order == order->id && !isOver(state.record->phase);
+    const bool isCounted = order && order->id == state.countedFor && state.record && state.record->orderId == order->id && !isOver(state.record->phase);
     if (!isCounted) {
         return;
     }
@@ -252,7 +252,7 @@
     note(state.own, outcome);
 }
 
-void RolloutKeeper::adopt(Record record)
+void RolloutAgent::adopt(Record record)
 {
     ServiceState &state = services_[record.service];
     const bool isOld = state.record && state.record->rowVersion >= record.rowVersion;
@@ -264,7 +264,7 @@
         state.record->rowVersion = record.rowVersion;
         return;
     }
-    const bool isChange = !state.record || state.record->order != record.order || state.record->phase != record.phase;
+    const bool isChange = !state.record || state.record->orderId != record.orderId || state.record->phase != record.phase;
     state.record = std::move(record);
     if (!isChange) {
         return;
@@ -274,19 +274,19 @@
     tools_.log->write(Event::RolloutPhase,
         {{Attribute::Service, current.service},
             {Attribute::Software, current.toVersion},
-            {Attribute::Order, static_cast<std::int64_t>(current.order.number)},
+            {Attribute::Order, static_cast<std::int64_t>(current.orderId.number)},
             {Attribute::Outcome, phaseName(current.phase)},
-            {Attribute::AgeMs, storeNow ? milliseconds(*storeNow - current.phaseAt) : std::int64_t(-1)}});
+            {Attribute::AgeMs, storeNow ? milliseconds(*storeNow - current.phaseStartedAt) : std::int64_t(-1)}});
     if (current.phase != Phase::Moving || !storeNow) {
         return;
     }
-    const TimePoint stopAt = tools_.loop->now() + (othersStopAt(current) - *storeNow);
+    const TimePoint stopAt = tools_.loop->now() + (otherVersionsStopAt(current) - *storeNow);
     for (const auto &handler : movingHandlers_) {
         handler(current, stopAt);
     }
 }
 
-void RolloutKeeper::takeRecords(const std::vector<rows::Row> &rows)
+void RolloutAgent::applyRecords(const std::vector<rows::Row> &rows)
 {
     for (const rows::Row &row : rows) {
         Record record;
@@ -302,9 +302,9 @@
     }
 }
 
-void RolloutKeeper::takeAllRecords(const rows::WholeTable &whole)
+void RolloutAgent::applyAllRecords(const rows::WholeTable &whole)
 {
-    takeRecords(whole.rows);
+    applyRecords(whole.rows);
     std::set<std::string_view> listed;
     for (const rows::Row &row : whole.rows) {
         listed.insert(row.key);
@@ -322,12 +322,12 @@
     }
 }
 
-void RolloutKeeper::onMoving(std::function<void(const Record &record, TimePoint stopAt)> handler)
+void RolloutAgent::onMoving(std::function<void(const Record &record, TimePoint stopAt)> handler)
 {
     movingHandlers_.push_back(std::move(handler));
 }
 
-std::uint32_t RolloutKeeper::ownOpenAtOthers(const ServiceState &state) const
+std::uint32_t RolloutAgent::ownOpenAtOtherVersions(const ServiceState &state) const
 {
     std::uint32_t sum = 0;
     for (const auto &[version, open] : state.open) {
@@ -338,7 +338,7 @@
     return sum;
 }
 
-void RolloutKeeper::fill(presence::Status &status) const
+void RolloutAgent::fillStatus(presence::Status &status) const
 {
     for (const auto &[service, state] : services_) {
         if (!isUnderWay(service)) {
@@ -347,76 +347,76 @@
         presence::RolloutNews news;
         news.service = presence::nameHash(service);
         news.order = state.countedFor;
-        news.counts = toTold(state.own);
-        news.openAtOthers = ownOpenAtOthers(state);
+        news.counts = toRolloutCounts(state.own);
+        news.openAtOthers = ownOpenAtOtherVersions(state);
         status.rollouts.push_back(std::move(news));
     }
 }
 
-void RolloutKeeper::takeStatus(const presence::Status &status)
+void RolloutAgent::receiveStatus(const presence::Status &status)
 {
     for (const presence::RolloutNews &news : status.rollouts) {
         for (auto &[service, state] : services_) {
             if (presence::nameHash(service) == news.service && news.order == state.countedFor) {
-                state.told[{status.instance, status.incarnation}] = {fromTold(news.counts), news.openAtOthers, tools_.loop->now()};
+                state.told[{status.instance, status.incarnation}] = {fromRolloutCounts(news.counts), news.openAtOthers, tools_.loop->now()};
             }
         }
     }
 }
 
-void RolloutKeeper::tick()
+void RolloutAgent::tick()
 {
     for (auto &[service, state] : services_) {
         if (state.record && state.record->phase == Phase::Trial && !state.looksBad) {
-            state.looksBad = judge(evidence(service), {}).finding == Finding::Bad;
+            state.looksBad = evaluateTrial(outcomes(service), {}).finding == Finding::Bad;
         }
     }
 }
 
-const Record *RolloutKeeper::record(std::string_view service) const
+const Record *RolloutAgent::record(std::string_view service) const
 {
     const auto found = services_.find(service);
     return found == services_.end() || !found->second.record ? nullptr : &*found->second.record;
 }
 
-Evidence RolloutKeeper::evidence(const std::string &service) const
+RolloutOutcomes RolloutAgent::outcomes(const std::string &service) const
 {
     const auto found = services_.find(service);
     if (found == services_.end()) {
         return {};
     }
-    Evidence sum = found->second.own;
+    RolloutOutcomes sum = found->second.own;
     for (const auto &[vm, told] : found->second.told) {
-        add(sum, told.evidence);
+        add(sum, told.outcomes);
     }
     return sum;
 }
 
-std::uint64_t RolloutKeeper::openAtOthers(const std::string &service) const
+std::uint64_t RolloutAgent::openAtOtherVersions(const std::string &service) const
 {
     const auto found = services_.find(service);
     if (found == services_.end()) {
         return 0;
     }
-    std::uint64_t sum = ownOpenAtOthers(found->second);
+    std::uint64_t sum = ownOpenAtOtherVersions(found->second);
     for (const auto &[vm, told] : found->second.told) {
-        sum += tools_.loop->now() - told.at <= OpenLife ? told.openAtOthers : 0;
+        sum += tools_.loop->now() - told.at <= OpenLife ? told.openAtOtherVersions : 0;
     }
     return sum;
 }
 
-bool RolloutKeeper::isAnyUnderWay() const
+bool RolloutAgent::isAnyUnderWay() const
 {
     return std::any_of(services_.begin(), services_.end(), [this](const auto &entry) { return isUnderWay(entry.first); });
 }
 
-bool RolloutKeeper::isRecordLost(std::string_view service) const
+bool RolloutAgent::isRecordLost(std::string_view service) const
 {
     const auto found = services_.find(service);
     return found != services_.end() && found->second.isRecordLost;
 }
 
-std::vector<std::string> RolloutKeeper::servicesWithRecord() const
+std::vector<std::string> RolloutAgent::servicesWithRecord() const
 {
     std::vector<std::string> services;
     for (const auto &[service, state] : services_) {
@@ -427,11 +427,11 @@
     return services;
 }
 
-bool RolloutKeeper::isUnderWay(std::string_view service) const
+bool RolloutAgent::isUnderWay(std::string_view service) const
 {
     const Order *order = tools_.orders->find(service);
     const Record *known = record(service);
-    return (order && (!known || !answers(*known, *order))) || (known && !isOver(known->phase));
+    return (order && (!known || !coversOrder(*known, *order))) || (known && !isOver(known->phase));
 }
 
 } // namespace cardamomlift::rollout
--- a/src/rollout/internal/rolloutjudge.cpp
+++ b/src/rollout/internal/rolloutcontroller.cpp
@@ -1,4 +1,4 @@
-#include "rollout/rolloutjudge.h"
+#include "rollout/rolloutcontroller.h"
 
 #include <algorithm>
 #include <set>
@@ -19,25 +19,25 @@
 
 } // namespace
 
-RolloutJudge::RolloutJudge(JudgeTools tools)
+RolloutController::RolloutController(ControllerTools tools)
     : tools_(std::move(tools))
 {
 }
 
-std::shared_ptr<RolloutJudge> RolloutJudge::start(JudgeTools tools)
+std::shared_ptr<RolloutController> RolloutController::start(ControllerTools tools)
 {
-    std::shared_ptr<RolloutJudge> judge(new RolloutJudge(std::move(tools)));
-    RolloutJudge *raw = judge.get();
+    std::shared_ptr<RolloutController> controller(new RolloutController(std::move(tools)));
+    RolloutController *raw = controller.get();
     raw->timer_ = raw->tools_.loop->every(TickPeriod, [raw] { raw->tick(); });
-    return judge;
+    return controller;
 }
 
-RolloutJudge::~RolloutJudge()
+RolloutController::~RolloutController()
 {
     tools_.loop->cancel(timer_);
 }
 
-void RolloutJudge::tick()
+void RolloutController::tick()
 {
     const auto storeNow = tools_.storeNow();
     if (!storeNow || !tools_.lease->mayAct()) {
@@ -48,7 +48,7 @@
     for (const auto &[service, order] : tools_.orders->all()) {
         services.insert(service);
     }
-    for (const std::string &service : tools_.keeper->servicesWithRecord()) {
+    for (const std::string &service : tools_.agent->servicesWithRecord()) {
         services.insert(service);
     }
     for (const std::string &service : services) {
@@ -56,43 +56,43 @@
     }
 }
 
-Verdict RolloutJudge::verdict(const std::string &service, Watched &watched) const
+Verdict RolloutController::verdict(const std::string &service, Watched &watched) const
 {
     const TimePoint now = tools_.loop->now();
-    Evidence all = tools_.keeper->evidence(service);
+    RolloutOutcomes all = tools_.agent->outcomes(service);
     while (watched.snapshots.size() > 1 && now - watched.snapshots[1].at >= LongSpan) {
         watched.snapshots.pop_front();
     }
-    std::vector<Evidence> recent;
+    std::vector<RolloutOutcomes> recent;
     const auto shortFrom =
         std::find_if(watched.snapshots.rbegin(), watched.snapshots.rend(), [now](const Snapshot &snapshot) { return now - snapshot.at >= ShortSpan; });
     if (shortFrom != watched.snapshots.rend()) {
-        recent.push_back(since(all, shortFrom->evidence));
-        recent.push_back(since(all, watched.snapshots.front().evidence));
+        recent.push_back(since(all, shortFrom->outcomes));
+        recent.push_back(since(all, watched.snapshots.front().outcomes));
     }
-    Verdict result = judge(all, recent);
+    Verdict result = evaluateTrial(all, recent);
     watched.snapshots.push_back({now, std::move(all)});
     return result;
 }
 
-void RolloutJudge::look(const std::string &service, Duration storeNow)
+void RolloutController::look(const std::string &service, Duration storeNow)
 {
     const Order *order = tools_.orders->find(service);
-    const Record *record = tools_.keeper->record(service);
+    const Record *record = tools_.agent->record(service);
     Watched &watched = watched_[service];
-    if (order && watched.order != order->id) {
-        watched.order = order->id;
+    if (order && watched.orderId != order->id) {
+        watched.orderId = order->id;
         watched.snapshots.clear();
     }
     PlanInput input;
     input.order = order;
     input.record = record;
-    input.isRecordLost = tools_.keeper->isRecordLost(service);
+    input.isRecordLost = tools_.agent->isRecordLost(service);
     input.storeNow = storeNow;
     if (record && !isOver(record->phase)) {
         input.verdict = verdict(service, watched);
     }
-    input.openAtOthers = tools_.keeper->openAtOthers(service);
+    input.openAtOtherVersions = tools_.agent->openAtOtherVersions(service);
     const std::vector<std::string> versions = versionsOf(service);
     input.versions = versions;
     auto next = nextRecord(input);
@@ -107,7 +107,7 @@
     }
 }
 
-std::vector<std::string> RolloutJudge::versionsOf(const std::string &service) const
+std::vector<std::string> RolloutController::versionsOf(const std::string &service) const
 {
     std::set<std::string> versions;
     for (const auto &[instance, known] : tools_.directory->all()) {
@@ -118,7 +118,7 @@
     return {versions.begin(), versions.end()};
 }
 
-void RolloutJudge::write(const std::string &service, Record record, const Verdict &verdict)
+void RolloutController::write(const std::string &service, Record record, const Verdict &verdict)
 {
     // NOTE Asked right before the write: a holder that was suspended must not take a step.
     if (!tools_.lease->mayAct()) {
@@ -144,13 +144,13 @@
         self->tools_.log->write(Event::RolloutStep,
             {{Attribute::Service, record.service},
                 {Attribute::Software, record.toVersion},
-                {Attribute::Order, static_cast<std::int64_t>(record.order.number)},
+                {Attribute::Order, static_cast<std::int64_t>(record.orderId.number)},
                 {Attribute::Outcome, phaseName(record.phase)},
                 {Attribute::Reason, isWritten ? "written" : "not_written"},
                 {Attribute::Count, static_cast<std::int64_t>(verdict.trialSends)},
                 {Attribute::Failed, static_cast<std::int64_t>(verdict.trialBad)},
                 {Attribute::Expected, static_cast<std::int64_t>(verdict.expectedBad)},
-                {Attribute::Answered, static_cast<std::int64_t>(verdict.usualSends)},
+                {Attribute::Answered, static_cast<std::int64_t>(verdict.baselineSends)},
                 {Attribute::Score, static_cast<std::int64_t>(verdict.score)},
                 {Attribute::Fence, static_cast<std::int64_t>(self->tools_.lease->fence())}});
     });
--- a/src/rollout/internal/evidence.cpp
+++ b/src/rollout/internal/rolloutoutcomes.cpp
@@ -1,4 +1,4 @@
-#include "rollout/evidence.h"
+#include "rollout/rolloutoutcomes.h"
 
 #include <algorithm>
 #include <cmath>
@@ -19,7 +19,7 @@
     return now - std::min(now, earlier);
 }
 
-presence::RolloutCounts toldCounts(std::uint64_t route, std::uint64_t server, const Counts &counts)
+presence::RolloutCounts toldCounts(std::uint64_t route, std::uint64_t server, const OutcomeCounts &counts)
 {
     presence::RolloutCounts told;
     told.route = route;
@@ -34,82 +34,82 @@
 
 } // namespace
 
-std::size_t latencyClass(Duration took)
+std::size_t latencyBucket(Duration took)
 {
     const double ms = static_cast<double>(took.count()) / MicrosecondsPerMs;
     if (ms <= FirstClassMs) {
         return 0;
     }
     const double place = std::ceil(std::log2(ms / FirstClassMs) * ClassesPerOctave);
-    return std::min(LatencyClasses - 1, static_cast<std::size_t>(place));
+    return std::min(LatencyBuckets - 1, static_cast<std::size_t>(place));
 }
 
-std::uint64_t Counts::answers() const
+std::uint64_t OutcomeCounts::answers() const
 {
     return std::accumulate(answered.begin(), answered.end(), std::uint64_t(0));
 }
 
-std::uint64_t Counts::total() const
+std::uint64_t OutcomeCounts::total() const
 {
     return answers() + failed;
 }
 
-std::uint64_t Counts::slowerThan(std::size_t last) const
+std::uint64_t OutcomeCounts::slowerThan(std::size_t last) const
 {
-    const auto first = answered.begin() + static_cast<std::ptrdiff_t>(std::min(LatencyClasses, last + 1));
+    const auto first = answered.begin() + static_cast<std::ptrdiff_t>(std::min(LatencyBuckets, last + 1));
     return std::accumulate(first, answered.end(), std::uint64_t(0));
 }
 
-Counts &Counts::operator+=(const Counts &other)
+OutcomeCounts &OutcomeCounts::operator+=(const OutcomeCounts &other)
 {
     failed += other.failed;
-    for (std::size_t i = 0; i < LatencyClasses; i++) {
+    for (std::size_t i = 0; i < LatencyBuckets; i++) {
         answered[i] += other.answered[i];
     }
     return *this;
 }
 
-Counts Counts::since(const Counts &earlier) const
+OutcomeCounts OutcomeCounts::since(const OutcomeCounts &earlier) const
 {
-    Counts later;
+    OutcomeCounts later;
     later.failed = difference(failed, earlier.failed);
-    for (std::size_t i = 0; i < LatencyClasses; i++) {
+    for (std::size_t i = 0; i < LatencyBuckets; i++) {
         later.answered[i] = difference(answered[i], earlier.answered[i]);
     }
     return later;
 }
 
-void note(Evidence &evidence, const SendOutcome &outcome)
+void note(RolloutOutcomes &outcomes, const SendOutcome &outcome)
 {
-    RouteEvidence &route = evidence[outcome.route];
-    Counts &counts = outcome.trialServer ? route.trial[*outcome.trialServer] : route.usual;
+    RouteOutcomes &route = outcomes[outcome.route];
+    OutcomeCounts &counts = outcome.trialServer ? route.trial[*outcome.trialServer] : route.baseline;
     if (outcome.firstByteAfter) {
-        counts.answered[latencyClass(*outcome.firstByteAfter)]++;
+        counts.answered[latencyBucket(*outcome.firstByteAfter)]++;
         return;
     }
     counts.failed++;
 }
 
-void add(Evidence &sum, const Evidence &more)
+void add(RolloutOutcomes &sum, const RolloutOutcomes &more)
 {
     for (const auto &[route, entry] : more) {
-        RouteEvidence &place = sum[route];
-        place.usual += entry.usual;
+        RouteOutcomes &place = sum[route];
+        place.baseline += entry.baseline;
         for (const auto &[server, counts] : entry.trial) {
             place.trial[server] += counts;
         }
     }
 }
 
-Evidence since(const Evidence &now, const Evidence &earlier)
+RolloutOutcomes since(const RolloutOutcomes &now, const RolloutOutcomes &earlier)
 {
-    Evidence later = now;
+    RolloutOutcomes later = now;
     for (auto &[route, entry] : later) {
         const auto before = earlier.find(route);
         if (before == earlier.end()) {
             continue;
         }
-        entry.usual = entry.usual.since(before->second.usual);
+        entry.baseline = entry.baseline.since(before->second.baseline);
         for (auto &[server, counts] : entry.trial) {
             const auto place = before->second.trial.find(server);
             counts = place == before->second.trial.end() ? counts : counts.since(place->second);
@@ -118,11 +118,11 @@
     return later;
 }
 
-std::vector<presence::RolloutCounts> toTold(const Evidence &evidence)
+std::vector<presence::RolloutCounts> toRolloutCounts(const RolloutOutcomes &outcomes)
 {
     std::vector<presence::RolloutCounts> told;
-    for (const auto &[route, entry] : evidence) {
-        told.push_back(toldCounts(route, 0, entry.usual));
+    for (const auto &[route, entry] : outcomes) {
+        told.push_back(toldCounts(route, 0, entry.baseline));
         for (const auto &[server, counts] : entry.trial) {
             told.push_back(toldCounts(route, server, counts));
         }
@@ -130,19 +130,19 @@
     return told;
 }
 
-Evidence fromTold(std::span<const presence::RolloutCounts> told)
+RolloutOutcomes fromRolloutCounts(std::span<const presence::RolloutCounts> told)
 {
-    Evidence evidence;
+    RolloutOutcomes outcomes;
     for (const presence::RolloutCounts &entry : told) {
-        Counts counts;
+        OutcomeCounts counts;
         counts.failed = entry.failed;
-        for (std::size_t i = 0; i < std::min(LatencyClasses, entry.answered.size()); i++) {
+        for (std::size_t i = 0; i < std::min(LatencyBuckets, entry.answered.size()); i++) {
             counts.answered[i] = entry.answered[i];
         }
-        RouteEvidence &route = evidence[entry.route];
-        (entry.server == 0 ? route.usual : route.trial[entry.server]) += counts;
+        RouteOutcomes &route = outcomes[entry.route];
+        (entry.server == 0 ? route.baseline : route.trial[entry.server]) += counts;
     }
-    return evidence;
+    return outcomes;
 }
 
 } // namespace cardamomlift::rollout
--- a/src/rollout/internal/rolloutplan.cpp
+++ b/src/rollout/internal/rolloutplan.cpp
@@ -28,13 +28,13 @@
         }
     }
     std::erase(record.excluded, order.toVersion);
-    record.order = order.id;
+    record.orderId = order.id;
     record.service = order.service;
     record.toVersion = order.toVersion;
     record.phase = Phase::Trial;
     record.startedAt = storeNow;
-    record.endsAt = storeNow + order.length;
-    record.phaseAt = storeNow;
+    record.endsAt = storeNow + order.timeLimit;
+    record.phaseStartedAt = storeNow;
     return record;
 }
 
@@ -42,7 +42,7 @@
 {
     Record next = record;
     next.phase = phase;
-    next.phaseAt = storeNow;
+    next.phaseStartedAt = storeNow;
     return next;
 }
 
@@ -70,8 +70,8 @@
     if (input.verdict.finding == Finding::Bad) {
         return rolledBack(record, input.storeNow);
     }
-    const Duration length = record.endsAt - record.startedAt;
-    const Duration moving = std::max(LeastMoving, length / MovingPart);
+    const Duration timeLimit = record.endsAt - record.startedAt;
+    const Duration moving = std::max(LeastMoving, timeLimit / MovingPart);
     if (input.storeNow < record.endsAt - moving) {
         return std::nullopt;
     }
@@ -86,14 +86,14 @@
 
 } // namespace
 
-Duration othersStopAt(const Record &record)
+Duration otherVersionsStopAt(const Record &record)
 {
     return record.endsAt - WriteMargin;
 }
 
 std::optional<Record> nextRecord(const PlanInput &input)
 {
-    const bool isNew = input.order && (!input.record || !answers(*input.record, *input.order));
+    const bool isNew = input.order && (!input.record || !coversOrder(*input.record, *input.order));
     if (isNew) {
         return begin(*input.order, input.record, input.storeNow);
     }
@@ -114,8 +114,8 @@
     if (input.verdict.finding == Finding::Bad) {
         return rolledBack(record, input.storeNow);
     }
-    const bool haveOthersEnded = input.openAtOthers == 0 && input.storeNow - record.phaseAt >= MoveHeard;
-    if (haveOthersEnded || input.storeNow >= othersStopAt(record)) {
+    const bool haveOthersEnded = input.openAtOtherVersions == 0 && input.storeNow - record.phaseStartedAt >= MoveHeard;
+    if (haveOthersEnded || input.storeNow >= otherVersionsStopAt(record)) {
         return succeeded(record, input.storeNow, input.versions);
     }
     return std::nullopt;
--- a/src/rollout/internal/rollouttypes.cpp
+++ b/src/rollout/internal/rollouttypes.cpp
@@ -42,15 +42,15 @@
     return ReportedState::Running;
 }
 
-bool answers(const Record &record, const Order &order)
+bool coversOrder(const Record &record, const Order &order)
 {
-    const bool isWrittenAgain = order.id.era > record.order.era && order.toVersion == record.toVersion;
-    return record.order >= order.id || isWrittenAgain;
+    const bool isWrittenAgain = order.id.era > record.orderId.era && order.toVersion == record.toVersion;
+    return record.orderId >= order.id || isWrittenAgain;
 }
 
 bool isBehind(const Record &record, const Record &known)
 {
-    return record.order == known.order ? record.phase < known.phase : record.order < known.order;
+    return record.orderId == known.orderId ? record.phase < known.phase : record.orderId < known.orderId;
 }
 
 bool isOver(Phase phase)
@@ -61,14 +61,14 @@
 std::string encodeRecord(const Record &record)
 {
     Json::Value json;
-    json["orderEra"] = static_cast<Json::UInt64>(record.order.era);
-    json["order"] = static_cast<Json::UInt64>(record.order.number);
+    json["orderEra"] = static_cast<Json::UInt64>(record.orderId.era);
+    json["order"] = static_cast<Json::UInt64>(record.orderId.number);
     json["service"] = record.service;
     json["toVersion"] = record.toVersion;
     json["phase"] = std::string(phaseName(record.phase));
     json["startedAtUs"] = static_cast<Json::Int64>(record.startedAt.count());
     json["endsAtUs"] = static_cast<Json::Int64>(record.endsAt.count());
-    json["phaseAtUs"] = static_cast<Json::Int64>(record.phaseAt.count());
+    json["phaseAtUs"] = static_cast<Json::Int64>(record.phaseStartedAt.count());
     json["excluded"] = Json::Value(Json::arrayValue);
     for (const std::string &version : record.excluded) {
         json["excluded"].append(version);
@@ -92,13 +92,13 @@
     if (!phase) {
         return false;
     }
-    record.order = {(*json)["orderEra"].asUInt64(), (*json)["order"].asUInt64()};
+    record.orderId = {(*json)["orderEra"].asUInt64(), (*json)["order"].asUInt64()};
     record.service = (*json)["service"].asString();
     record.toVersion = (*json)["toVersion"].asString();
     record.phase = *phase;
     record.startedAt = Duration((*json)["startedAtUs"].asInt64());
     record.endsAt = Duration((*json)["endsAtUs"].asInt64());
-    record.phaseAt = Duration((*json)["phaseAtUs"].asInt64());
+    record.phaseStartedAt = Duration((*json)["phaseAtUs"].asInt64());
     record.excluded.clear();
     for (const Json::Value &version : (*json)["excluded"]) {
         record.excluded.push_back(version.asString());
--- a/src/rollout/internal/verdictrules.cpp
+++ b/src/rollout/internal/verdictrules.cpp
@@ -38,58 +38,58 @@
 /// One route, or several together.
 struct Comparison {
     std::uint64_t route = 0;
-    Sample usual;
+    Sample baseline;
     Sample trial;
     double expected = 0; ///< Bad answers among trial.sends if the version is as good as the others.
 };
 
 /// The last class that is not slow.
-std::size_t slowAfter(const Counts &usual)
+std::size_t slowAfter(const OutcomeCounts &baseline)
 {
-    const std::uint64_t answers = usual.answers();
+    const std::uint64_t answers = baseline.answers();
     if (answers < EnoughUsual) {
-        return LatencyClasses;
+        return LatencyBuckets;
     }
     std::uint64_t sum = 0;
-    for (std::size_t i = 0; i < LatencyClasses; i++) {
-        sum += usual.answered[i];
+    for (std::size_t i = 0; i < LatencyBuckets; i++) {
+        sum += baseline.answered[i];
         if (static_cast<double>(sum) >= UsualQuantile * static_cast<double>(answers)) {
             return i + SlowClasses;
         }
     }
-    return LatencyClasses;
+    return LatencyBuckets;
 }
 
-Sample sampleOf(const Counts &counts, std::size_t slowAfter)
+Sample sampleOf(const OutcomeCounts &counts, std::size_t slowAfter)
 {
     return {counts.total(), counts.failed + counts.slowerThan(slowAfter)};
 }
 
-Sample trialSample(const RouteEvidence &evidence, std::size_t slowAfter, bool withWorst)
+Sample trialSample(const RouteOutcomes &outcomes, std::size_t slowAfter, bool withWorst)
 {
     Sample sum;
     Sample worst;
-    for (const auto &[server, counts] : evidence.trial) {
+    for (const auto &[server, counts] : outcomes.trial) {
         const Sample sample = sampleOf(counts, slowAfter);
         sum.sends += sample.sends;
         sum.bad += sample.bad;
         worst = sample.bad > worst.bad ? sample : worst;
     }
-    if (withWorst || evidence.trial.size() < 2) {
+    if (withWorst || outcomes.trial.size() < 2) {
         return sum;
     }
     return {sum.sends - worst.sends, sum.bad - worst.bad};
 }
 
-Comparison compare(std::uint64_t route, const RouteEvidence &evidence, bool withWorst)
+Comparison compare(std::uint64_t route, const RouteOutcomes &outcomes, bool withWorst)
 {
-    const std::size_t slow = slowAfter(evidence.usual);
+    const std::size_t slow = slowAfter(outcomes.baseline);
     Comparison result;
     result.route = route;
-    result.usual = sampleOf(evidence.usual, slow);
-    result.trial = trialSample(evidence, slow, withWorst);
-    const double sends = static_cast<double>(std::max<std::uint64_t>(1, result.usual.sends));
-    const double share = std::clamp(static_cast<double>(result.usual.bad) / sends * UsualFactor + UsualMargin, LeastShare, MostShare);
+    result.baseline = sampleOf(outcomes.baseline, slow);
+    result.trial = trialSample(outcomes, slow, withWorst);
+    const double sends = static_cast<double>(std::max<std::uint64_t>(1, result.baseline.sends));
+    const double share = std::clamp(static_cast<double>(result.baseline.bad) / sends * UsualFactor + UsualMargin, LeastShare, MostShare);
     result.expected = share * static_cast<double>(result.trial.sends);
     return result;
 }
@@ -126,16 +126,16 @@
 
 Verdict verdictOf(Finding finding, const Comparison &comparison, double score)
 {
-    return {finding, comparison.route, comparison.trial.sends, comparison.trial.bad, comparison.usual.sends, comparison.expected, score};
+    return {finding, comparison.route, comparison.trial.sends, comparison.trial.bad, comparison.baseline.sends, comparison.expected, score};
 }
 
-std::vector<Comparison> compareAll(const Evidence &evidence, bool withWorst)
+std::vector<Comparison> compareAll(const RolloutOutcomes &outcomes, bool withWorst)
 {
     std::vector<Comparison> comparisons;
     Comparison sum;
-    for (const auto &[route, entry] : evidence) {
+    for (const auto &[route, entry] : outcomes) {
         const Comparison &one = comparisons.emplace_back(compare(route, entry, withWorst));
-        sum.usual = {sum.usual.sends + one.usual.sends, sum.usual.bad + one.usual.bad};
+        sum.baseline = {sum.baseline.sends + one.baseline.sends, sum.baseline.bad + one.baseline.bad};
         sum.trial = {sum.trial.sends + one.trial.sends, sum.trial.bad + one.trial.bad};
         sum.expected += one.expected;
     }
@@ -143,57 +143,57 @@
     return comparisons;
 }
 
-Verdict worst(const Evidence &evidence, bool withWorst)
+Verdict worst(const RolloutOutcomes &outcomes, bool withWorst)
 {
     Verdict verdict;
-    for (const Comparison &comparison : compareAll(evidence, withWorst)) {
+    for (const Comparison &comparison : compareAll(outcomes, withWorst)) {
         const double score = badScore(comparison);
         const bool isBad = score >= EnoughForBad;
         if (verdict.trialSends == 0 || score > verdict.score) {
-            verdict = verdictOf(isBad ? Finding::Bad : Finding::Unsure, comparison, score);
+            verdict = verdictOf(isBad ? Finding::Bad : Finding::Inconclusive, comparison, score);
         }
     }
     return verdict;
 }
 
-bool hasEnoughServers(const Evidence &evidence)
+bool hasEnoughServers(const RolloutOutcomes &outcomes)
 {
-    return std::all_of(evidence.begin(), evidence.end(), [](const auto &entry) {
+    return std::all_of(outcomes.begin(), outcomes.end(), [](const auto &entry) {
         return std::count_if(entry.second.trial.begin(), entry.second.trial.end(), [](const auto &server) { return server.second.total() > 0; })
             >= static_cast<std::ptrdiff_t>(EnoughServers);
     });
 }
 
 /// The route in use that speaks least for the version; Good if even that one does clearly.
-Verdict leastGood(const Evidence &evidence, bool withWorst)
+Verdict leastGood(const RolloutOutcomes &outcomes, bool withWorst)
 {
-    const std::vector<Comparison> comparisons = compareAll(evidence, withWorst);
+    const std::vector<Comparison> comparisons = compareAll(outcomes, withWorst);
     const Comparison &sum = comparisons.back();
     Verdict least = verdictOf(Finding::Good, sum, goodScore(sum));
     for (const Comparison &comparison : comparisons) {
         const bool isInUse =
-            comparison.usual.sends >= EnoughUsual && static_cast<double>(comparison.usual.sends) >= RouteInUse * static_cast<double>(sum.usual.sends);
+            comparison.baseline.sends >= EnoughUsual && static_cast<double>(comparison.baseline.sends) >= RouteInUse * static_cast<double>(sum.baseline.sends);
         const double score = goodScore(comparison);
         if (isInUse && score <= least.score) {
             least = verdictOf(Finding::Good, comparison, score);
         }
     }
     if (least.score < EnoughForGood) {
-        least.finding = Finding::Unsure;
+        least.finding = Finding::Inconclusive;
     }
     return least;
 }
 
 } // namespace
 
-Verdict judge(const Evidence &all, std::span<const Evidence> recent)
+Verdict evaluateTrial(const RolloutOutcomes &all, std::span<const RolloutOutcomes> recent)
 {
     const Verdict overall = worst(all, false);
     if (overall.finding == Finding::Bad) {
         return overall;
     }
     Verdict suspicion;
-    for (const Evidence &span : recent) {
+    for (const RolloutOutcomes &span : recent) {
         const Verdict verdict = worst(span, false);
         if (verdict.finding == Finding::Bad) {
             return verdict;
@@ -202,7 +202,7 @@
         suspicion = doubt.score > suspicion.score ? doubt : suspicion;
     }
     if (suspicion.score >= Suspicious) {
-        suspicion.finding = Finding::Unsure;
+        suspicion.finding = Finding::Inconclusive;
         return suspicion;
     }
     // Few servers share the evidence: without the worst one there may be too little, and with it there is no harm.
--- a/src/rollout/internal/versionrules.cpp
+++ b/src/rollout/internal/versionrules.cpp
@@ -6,25 +6,25 @@
 
 namespace {
 
-Standing ofTarget(Phase phase)
+VersionState ofTarget(Phase phase)
 {
     switch (phase) {
     case Phase::Trial:
-        return Standing::OnTrial;
+        return VersionState::OnTrial;
     case Phase::Moving:
-        return Standing::Preferred;
+        return VersionState::Preferred;
     case Phase::Succeeded:
-        return Standing::Usable;
+        return VersionState::Usable;
     case Phase::RolledBack:
-        return Standing::Excluded;
+        return VersionState::Excluded;
     }
-    return Standing::Excluded;
+    return VersionState::Excluded;
 }
 
 // Another order has come: what was not found good by then is not tried any further.
-Standing ofReplacedTarget(Phase phase)
+VersionState ofReplacedTarget(Phase phase)
 {
-    return phase == Phase::Moving || phase == Phase::Succeeded ? Standing::Usable : Standing::Excluded;
+    return phase == Phase::Moving || phase == Phase::Succeeded ? VersionState::Usable : VersionState::Excluded;
 }
 
 bool excludes(const Record &record, std::string_view version)
@@ -34,17 +34,17 @@
 
 } // namespace
 
-Standing standingOf(std::string_view version, const Order *order, const Record *record)
+VersionState versionStateOf(std::string_view version, const Order *order, const Record *record)
 {
-    const bool isAnswered = record && (!order || answers(*record, *order));
+    const bool isAnswered = record && (!order || coversOrder(*record, *order));
     const bool isTarget = record && version == record->toVersion;
     if (isTarget) {
         return isAnswered ? ofTarget(record->phase) : ofReplacedTarget(record->phase);
     }
     if (order && !isAnswered && version == order->toVersion) {
-        return Standing::Excluded;
+        return VersionState::Excluded;
     }
-    return record && excludes(*record, version) ? Standing::Excluded : Standing::Usable;
+    return record && excludes(*record, version) ? VersionState::Excluded : VersionState::Usable;
 }
 
 } // namespace cardamomlift::rollout
--- a/src/rollout/orderbook.h
+++ b/src/rollout/ordercache.h
@@ -13,10 +13,10 @@
 namespace cardamomlift::rollout {
 
 /// The operator's newest rollout order of each service, as far as this VM has read them.
-class OrderBook
+class OrderCache
 {
 public:
-    static std::shared_ptr<OrderBook> create();
+    static std::shared_ptr<OrderCache> create();
 
     /// An older order than the known one came late and is passed over. After a restore of the store, so is one of the older
     /// copy, and the known one that was written again stays the same order.
@@ -34,7 +34,7 @@
     void onOrder(std::function<void(const Order &order)> handler);
 
 private:
-    OrderBook() = default;
+    OrderCache() = default;
     bool isKnown(const Order &order);
     std::map<std::string, Order, std::less<>> orders_; ///< By service.
     std::map<std::string, rows::StoreVersion, std::less<>> readAs_; ///< By service: the version in which its order stands now.
--- a/src/rollout/rolloutkeeper.h
+++ b/src/rollout/rolloutagent.h
@@ -6,9 +6,9 @@
 #include "kernel/eventloop.h"
 #include "metrics/metrics.h"
 #include "presence/presencetypes.h"
-#include "rollout/evidence.h"
-#include "rollout/exposureaccount.h"
-#include "rollout/orderbook.h"
+#include "rollout/exposurebudget.h"
+#include "rollout/ordercache.h"
+#include "rollout/rolloutoutcomes.h"
 #include "rollout/trialslice.h"
 #include "rollout/versionrules.h"
 #include "rows/rowtypes.h"
@@ -23,11 +23,11 @@
 namespace cardamomlift::rollout {
 
 /// What the keeper works with.
-struct KeeperTools {
+struct AgentTools {
     EventLoop *loop = nullptr;
-    Bounds bounds;
+    RolloutLimits limits;
     std::string instance; ///< This VM's.
-    std::shared_ptr<OrderBook> orders;
+    std::shared_ptr<OrderCache> orders;
     std::shared_ptr<directory::Directory> directory;
     std::shared_ptr<eventlog::EventLog> log;
     std::shared_ptr<metrics::Metrics> metrics;
@@ -37,15 +37,15 @@
     /// Since when no record can have changed unnoticed.
     std::function<std::optional<TimePoint>()> recordsConfirmedAt;
     /// Whether a VM that judges rollouts was heard of lately.
-    std::function<bool()> hearsJudge;
+    std::function<bool()> hearsController;
 };
 
 /// This VM's part in rollouts: it holds to what a version may get, counts what its requests come to, and hears what the other
 /// VMs have counted. Without fresh knowledge, or without a VM that judges, a version on trial gets nothing.
-class RolloutKeeper : public forwarding::VersionGate
+class RolloutAgent : public forwarding::VersionGate
 {
 public:
-    static std::shared_ptr<RolloutKeeper> create(KeeperTools tools);
+    static std::shared_ptr<RolloutAgent> create(AgentTools tools);
 
     forwarding::VersionPick pick(const std::string &service, const std::string &route) override;
     void giveBack(const std::string &service, const std::string &route) override;
@@ -57,14 +57,14 @@
     void noteOutcome(const directory::BackendServer &server, const std::string &route, std::optional<Duration> firstByteAfter) override;
 
     /// Rows of the table of records.
-    void takeRecords(const std::vector<rows::Row> &rows);
+    void applyRecords(const std::vector<rows::Row> &rows);
     /// The table holds no others. After a restore of the store the records that were known stay, where they are further.
-    void takeAllRecords(const rows::WholeTable &whole);
+    void applyAllRecords(const rows::WholeTable &whole);
     /// Called when the traffic of a service begins to move: others stop at @p stopAt, and what still runs there must go on
     /// elsewhere before that.
     void onMoving(std::function<void(const Record &record, TimePoint stopAt)> handler);
-    void fill(presence::Status &status) const;
-    void takeStatus(const presence::Status &status);
+    void fillStatus(presence::Status &status) const;
+    void receiveStatus(const presence::Status &status);
     /// Looks whether what is known here alone speaks against a version on trial. A few times a second.
     void tick();
 
@@ -73,17 +73,17 @@
     /// Whether the store, which was restored, lacks the record or has an earlier one: it is to be written again.
     bool isRecordLost(std::string_view service) const;
     /// What all VMs together have seen of the service's newest order.
-    Evidence evidence(const std::string &service) const;
+    RolloutOutcomes outcomes(const std::string &service) const;
     /// Requests that all VMs that were heard lately have open at servers of other versions.
-    std::uint64_t openAtOthers(const std::string &service) const;
+    std::uint64_t openAtOtherVersions(const std::string &service) const;
     bool isAnyUnderWay() const;
     std::vector<std::string> servicesWithRecord() const;
 
 private:
     /// What another process has told of the newest order.
-    struct Told {
-        Evidence evidence;
-        std::uint32_t openAtOthers = 0;
+    struct PeerReport {
+        RolloutOutcomes outcomes;
+        std::uint32_t openAtOtherVersions = 0;
         TimePoint at;
     };
     /// Of one service.
@@ -93,16 +93,16 @@
         std::set<std::string, std::less<>> metVersions; ///< Whose orders, if there were any, are known.
         std::map<std::string, int, std::less<>> open; ///< Requests at servers, by version.
         rows::StoreVersion countedFor; ///< The order of what follows.
-        std::optional<ExposureAccount> account;
-        Evidence own;
-        std::map<std::pair<std::string, std::uint64_t>, Told> told; ///< By VM and incarnation.
+        std::optional<ExposureBudget> budget;
+        RolloutOutcomes own;
+        std::map<std::pair<std::string, std::uint64_t>, PeerReport> told; ///< By VM and incarnation.
         std::set<std::string, std::less<>> chosen; ///< Servers on trial that get the trial's requests now.
         bool looksBad = false; ///< By what this VM and those it hears have seen.
         std::string_view pausedFor; ///< As logged last; empty: not paused.
     };
-    explicit RolloutKeeper(KeeperTools tools);
+    explicit RolloutAgent(AgentTools tools);
     void onOrder(const Order &order);
-    Standing standing(const directory::BackendServer &server);
+    VersionState versionState(const directory::BackendServer &server);
     bool isVersionKnown(ServiceState &state, const directory::BackendServer &server) const;
     /// Why a trial may not go on here now; empty if it may.
     std::string_view pauseReason(const ServiceState &state) const;
@@ -111,8 +111,8 @@
     /// False if no request is to be tried just now.
     bool chooseTrialServers(const std::string &service, ServiceState &state);
     void adopt(Record record);
-    std::uint32_t ownOpenAtOthers(const ServiceState &state) const;
-    KeeperTools tools_;
+    std::uint32_t ownOpenAtOtherVersions(const ServiceState &state) const;
+    AgentTools tools_;
     std::map<std::string, ServiceState, std::less<>> services_;
     std::vector<std::function<void(const Record &, TimePoint)>> movingHandlers_;
 };
--- a/src/rollout/rolloutjudgemodule.cpp
+++ b/src/rollout/rolloutcontrollermodule.cpp
@@ -2,15 +2,15 @@
 #include "kernel/module.h"
 #include "kernel/runtime.h"
 #include "presence/truetime.h"
-#include "rollout/rolloutjudge.h"
-#include "rollout/rolloutkeeper.h"
+#include "rollout/rolloutagent.h"
+#include "rollout/rolloutcontroller.h"
 
 namespace cardamomlift::rollout {
 
 namespace {
 
 /// What decides rollouts while this VM holds the duty lease, and moves what runs at servers that are about to stop.
-class RolloutJudgeModule : public Module
+class RolloutControllerModule : public Module
 {
 public:
     std::string_view name() const override
@@ -30,31 +30,31 @@
 
     Result<void> start(Context &context) override
     {
-        const auto keeper = context.find<RolloutKeeper>();
+        const auto agent = context.find<RolloutAgent>();
         const auto lease = context.find<duties::DutyLease>();
-        if (!keeper || !lease) {
+        if (!agent || !lease) {
             return success();
         }
-        JudgeTools tools;
+        ControllerTools tools;
         tools.loop = context.get<Runtime>()->loop;
         tools.lease = lease;
         tools.store = context.get<rows::RowStore>();
-        tools.keeper = keeper;
-        tools.orders = context.get<OrderBook>();
+        tools.agent = agent;
+        tools.orders = context.get<OrderCache>();
         tools.directory = context.get<directory::Directory>();
         tools.log = context.get<eventlog::EventLog>();
         tools.storeNow = [time = context.get<presence::TrueTime>()] {
             return time->storeNow();
         };
         tools.format = *context.get<StatusFormat>();
-        context.set(RolloutJudge::start(std::move(tools)));
-        keeper->onMoving([forwarder = context.get<forwarding::Forwarder>()](
-                             const Record &record, TimePoint stopAt) { forwarder->leaveOtherVersions(record.service, record.toVersion, stopAt); });
+        context.set(RolloutController::start(std::move(tools)));
+        agent->onMoving([forwarder = context.get<forwarding::Forwarder>()](
+                            const Record &record, TimePoint stopAt) { forwarder->leaveOtherVersions(record.service, record.toVersion, stopAt); });
         return success();
     }
 };
 
-const ModuleRegistration<RolloutJudgeModule> Registration;
+const ModuleRegistration<RolloutControllerModule> Registration;
 
 } // namespace
 
--- a/src/rollout/rolloutmodule.cpp
+++ b/src/rollout/rolloutmodule.cpp
@@ -3,8 +3,8 @@
 #include "presence/presence.h"
 #include "presence/tablerelay.h"
 #include "presence/truetime.h"
-#include "rollout/rolloutjudge.h"
-#include "rollout/rolloutkeeper.h"
+#include "rollout/rolloutagent.h"
+#include "rollout/rolloutcontroller.h"
 #include "rows/rowwatch.h"
 #include "settings/settingstypes.h"
 
@@ -45,21 +45,21 @@
 
     Result<void> start(Context &context) override
     {
-        const Bounds &bounds = context.get<settings::Settings>()->routes->rollouts;
-        if (!bounds.inForce) {
+        const RolloutLimits &limits = context.get<settings::Settings>()->routes->rollouts;
+        if (!limits.isEnabled) {
             return success();
         }
         loop_ = context.get<Runtime>()->loop;
         presence_ = context.get<presence::Presence>();
-        keeper_ = RolloutKeeper::create(tools(context, bounds));
-        context.set(keeper_);
-        context.set<forwarding::VersionGate>(keeper_);
+        agent_ = RolloutAgent::create(tools(context, limits));
+        context.set(agent_);
+        context.set<forwarding::VersionGate>(agent_);
         watchRecords(context);
-        presence_->contribute([keeper = keeper_](presence::Status &status) { keeper->fill(status); });
-        presence_->onStatus([keeper = keeper_](const presence::Status &status, std::optional<TimePoint>) { keeper->takeStatus(status); });
+        presence_->contribute([agent = agent_](presence::Status &status) { agent->fillStatus(status); });
+        presence_->onStatus([agent = agent_](const presence::Status &status, std::optional<TimePoint>) { agent->receiveStatus(status); });
         loop_->every(TickPeriod, [this] {
-            keeper_->tick();
-            watch_->setWait(keeper_->isAnyUnderWay() ? WaitInRollout : UsualWait);
+            agent_->tick();
+            watch_->setWait(agent_->isAnyUnderWay() ? WaitInRollout : UsualWait);
         });
         return success();
     }
@@ -72,13 +72,13 @@
     }
 
 private:
-    KeeperTools tools(Context &context, const Bounds &bounds)
+    AgentTools tools(Context &context, const RolloutLimits &limits)
     {
-        KeeperTools tools;
+        AgentTools tools;
         tools.loop = loop_;
-        tools.bounds = bounds;
+        tools.limits = limits;
         tools.instance = context.get<settings::Settings>()->instance;
-        tools.orders = context.get<OrderBook>();
+        tools.orders = context.get<OrderCache>();
         tools.directory = context.get<directory::Directory>();
         tools.log = context.get<eventlog::EventLog>();
         tools.metrics = context.get<metrics::Metrics>();
@@ -94,7 +94,7 @@
         tools.recordsConfirmedAt = [this] {
             return watch_ ? watch_->confirmedAt() : std::nullopt;
         };
-        tools.hearsJudge = [presence = presence_, &context] {
+        tools.hearsController = [presence = presence_, &context] {
             const auto lease = context.find<duties::DutyLease>();
             const auto heard = presence->heardLately(std::max(JudgeHeardWithin, presence->period() * 2));
             return (lease && lease->mayAct()) || std::any_of(heard.begin(), heard.end(), [](const presence::Peer *peer) { return peer->status->holdsLease; });
@@ -106,10 +106,10 @@
     {
         rows::WatchHandlers handlers;
         handlers.onAll = [this](const rows::WholeTable &whole) {
-            keeper_->takeAllRecords(whole);
+            agent_->applyAllRecords(whole);
         };
         handlers.onChanges = [this](const std::vector<rows::Row> &rows) {
-            keeper_->takeRecords(rows);
+            agent_->applyRecords(rows);
         };
         handlers.onConfirmed = [](TimePoint) {
         };
@@ -121,7 +121,7 @@
 
     EventLoop *loop_ = nullptr;
     std::shared_ptr<presence::Presence> presence_;
-    std::shared_ptr<RolloutKeeper> keeper_;
+    std::shared_ptr<RolloutAgent> agent_;
     std::shared_ptr<rows::RowWatch> watch_;
 };
 
--- a/src/rollout/rolloutplan.h
+++ b/src/rollout/rolloutplan.h
@@ -16,7 +16,7 @@
     bool isRecordLost = false; ///< The store was restored and lacks it, or has an earlier one.
     Verdict verdict;
     Duration storeNow{0};
-    std::uint64_t openAtOthers = 0; ///< Requests that all VMs have open at servers of other versions.
+    std::uint64_t openAtOtherVersions = 0; ///< Requests that all VMs have open at servers of other versions.
     std::span<const std::string> versions; ///< Of the servers that are known.
 };
 
@@ -26,6 +26,6 @@
 std::optional<Record> nextRecord(const PlanInput &input);
 
 /// By the store's clock: until when requests may end at servers of the other versions, which stop then.
-Duration othersStopAt(const Record &record);
+Duration otherVersionsStopAt(const Record &record);
 
 } // namespace cardamomlift::rollout
--- a/src/rollout/tests/exposureaccount_test.cpp
+++ b/src/rollout/tests/exposurebudget_test.cpp
@@ -1,4 +1,4 @@
-#include "rollout/exposureaccount.h"
+#include "rollout/exposurebudget.h"
 
 #include <gtest/gtest.h>
 
@@ -8,64 +8,64 @@
 
 namespace {
 
-Bounds bounds()
+RolloutLimits limits()
 {
-    Bounds result;
-    result.inForce = true;
+    RolloutLimits result;
+    result.isEnabled = true;
     result.exposureShare = 0.1;
     result.exposureSlack = 50;
     return result;
 }
 
 // VMs with very different loads, each on its own: the sum must hold at any moment, for the order may end at any.
-TEST(ExposureAccount, TheSumOfAllVmsKeepsTheBoundAtEachMoment)
+TEST(ExposureBudget, TheSumOfAllVmsKeepsTheBoundAtEachMoment)
 {
     for (const std::size_t vms : {1U, 8U, 63U, 300U}) {
         std::mt19937_64 random(vms);
         std::uniform_real_distribution<double> draw;
-        std::vector<ExposureAccount> accounts;
+        std::vector<ExposureBudget> budgets;
         for (std::size_t i = 0; i < vms; i++) {
-            accounts.push_back(ExposureAccount::create(bounds(), vms, draw(random)));
+            budgets.push_back(ExposureBudget::create(limits(), vms, draw(random)));
         }
         std::uint64_t exposed = 0;
         for (int requests = 1; requests <= 20'000; requests++) {
             const auto vm = static_cast<std::size_t>(static_cast<double>(vms) * draw(random) * draw(random));
             const std::uint64_t route = random() % 3;
-            accounts[vm].earn(route);
-            exposed += accounts[vm].take(route) ? 1 : 0;
+            budgets[vm].addRequest(route);
+            exposed += budgets[vm].take(route) ? 1 : 0;
             ASSERT_LE(static_cast<double>(exposed), 0.1 * requests + 50) << vms << " VMs";
         }
         EXPECT_GT(static_cast<double>(exposed), 0.07 * 20'000) << vms << " VMs";
     }
 }
 
-TEST(ExposureAccount, ARestartedVmTakesNoPartOfTheSlackAnew)
+TEST(ExposureBudget, ARestartedVmTakesNoPartOfTheSlackAnew)
 {
-    ExposureAccount account = ExposureAccount::create(bounds(), 0, 0);
-    account.earn(1);
-    EXPECT_FALSE(account.take(1));
+    ExposureBudget budget = ExposureBudget::create(limits(), 0, 0);
+    budget.addRequest(1);
+    EXPECT_FALSE(budget.take(1));
 }
 
-TEST(ExposureAccount, WhatFoundNoServerIsNotSpent)
+TEST(ExposureBudget, WhatFoundNoServerIsNotSpent)
 {
-    ExposureAccount account = ExposureAccount::create(bounds(), 40, 0);
-    account.earn(1);
-    ASSERT_TRUE(account.take(1));
-    EXPECT_FALSE(account.take(1));
-    account.giveBack(1);
-    EXPECT_TRUE(account.take(1));
+    ExposureBudget budget = ExposureBudget::create(limits(), 40, 0);
+    budget.addRequest(1);
+    ASSERT_TRUE(budget.take(1));
+    EXPECT_FALSE(budget.take(1));
+    budget.giveBack(1);
+    EXPECT_TRUE(budget.take(1));
 }
 
 // One of forty requests is of the second route; it gets far more than a fortieth of the trial.
-TEST(ExposureAccount, ARareRouteIsTriedToo)
+TEST(ExposureBudget, ARareRouteIsTriedToo)
 {
-    ExposureAccount account = ExposureAccount::create(bounds(), 0, 0);
+    ExposureBudget budget = ExposureBudget::create(limits(), 0, 0);
     int rare = 0;
     int all = 0;
     for (int i = 0; i < 4000; i++) {
         const std::uint64_t route = i % 40 == 0 ? 2 : 1;
-        account.earn(route);
-        const bool isTaken = account.take(route);
+        budget.addRequest(route);
+        const bool isTaken = budget.take(route);
         all += isTaken ? 1 : 0;
         rare += isTaken && route == 2 ? 1 : 0;
     }
--- a/src/rollout/tests/rolloutkeeper_test.cpp
+++ b/src/rollout/tests/rolloutagent_test.cpp
@@ -1,6 +1,6 @@
-#include "rollout/rolloutkeeper.h"
+#include "rollout/rolloutagent.h"
 
-#include "rollout/tests/evidence.h"
+#include "rollout/tests/outcomecounts.h"
 
 #include <gtest/gtest.h>
 
@@ -18,18 +18,18 @@
 constexpr rows::StoreVersion OrderRow{1, 100};
 
 /// One VM's keeper, whose surroundings the test sets.
-class RolloutKeeperTest : public testing::Test
+class RolloutAgentTest : public testing::Test
 {
 protected:
-    RolloutKeeperTest()
+    RolloutAgentTest()
     {
         loop_ = std::move(EventLoop::create(clock_).value());
-        orders_ = OrderBook::create();
+        orders_ = OrderCache::create();
         directory_ = directory::Directory::create();
-        KeeperTools tools;
+        AgentTools tools;
         tools.loop = loop_.get();
-        tools.bounds.inForce = true;
-        tools.bounds.exposureSlack = 50;
+        tools.limits.isEnabled = true;
+        tools.limits.exposureSlack = 50;
         tools.instance = "vm-1";
         tools.orders = orders_;
         tools.directory = directory_;
@@ -50,11 +50,11 @@
         tools.recordsConfirmedAt = [this] {
             return std::optional(confirmedAt_);
         };
-        tools.hearsJudge = [this] {
-            return hearsJudge_;
+        tools.hearsController = [this] {
+            return hearsController_;
         };
         confirmedAt_ = loop_->now();
-        keeper_ = RolloutKeeper::create(std::move(tools));
+        agent_ = RolloutAgent::create(std::move(tools));
         orders_->noteKnownUpTo({1, 50});
         for (const char *name : {"old-1", "old-2"}) {
             list(name, "v1", 10);
@@ -85,19 +85,19 @@
     static Record recordIn(Phase phase)
     {
         Record record;
-        record.order = OrderRow;
+        record.orderId = OrderRow;
         record.service = Service;
         record.toVersion = "v2";
         record.phase = phase;
         record.startedAt = seconds(1000);
         record.endsAt = seconds(1012);
-        record.phaseAt = seconds(1002);
+        record.phaseStartedAt = seconds(1002);
         return record;
     }
 
     void write(Phase phase)
     {
-        keeper_->takeRecords({{Service, encodeRecord(recordIn(phase)), {1, ++rowVersion_}}});
+        agent_->applyRecords({{Service, encodeRecord(recordIn(phase)), {1, ++rowVersion_}}});
     }
 
     /// The store was restored from a copy with these rows in the table of records.
@@ -107,12 +107,12 @@
         whole.rows = rows;
         whole.version = {2, 180};
         whole.reason = rows::ReadReason::StoreRestored;
-        keeper_->takeAllRecords(whole);
+        agent_->applyAllRecords(whole);
     }
 
     Eligibility eligibility(const std::string &name, VersionPick pick = VersionPick::Usual)
     {
-        return keeper_->eligibility(directory_->findNamed(name)->server, pick);
+        return agent_->eligibility(directory_->findNamed(name)->server, pick);
     }
 
     /// Of @p requests, those that are picked for the trial.
@@ -120,31 +120,31 @@
     {
         int sum = 0;
         for (int i = 0; i < requests; i++) {
-            sum += keeper_->pick(Service, Route) == VersionPick::OnTrial ? 1 : 0;
+            sum += agent_->pick(Service, Route) == VersionPick::OnTrial ? 1 : 0;
         }
         return sum;
     }
 
     ManualClock clock_;
     std::unique_ptr<EventLoop> loop_;
-    std::shared_ptr<OrderBook> orders_;
+    std::shared_ptr<OrderCache> orders_;
     std::shared_ptr<directory::Directory> directory_;
-    std::shared_ptr<RolloutKeeper> keeper_;
+    std::shared_ptr<RolloutAgent> agent_;
     Duration storeNow_ = seconds(1002);
     TimePoint confirmedAt_;
-    bool hearsJudge_ = true;
+    bool hearsController_ = true;
     std::uint64_t rowVersion_ = 200;
     std::string lines_;
 };
 
-TEST_F(RolloutKeeperTest, WithoutAnOrderAllServersGetWork)
+TEST_F(RolloutAgentTest, WithoutAnOrderAllServersGetWork)
 {
     EXPECT_EQ(eligibility("old-1"), Eligibility::Preferred);
     EXPECT_EQ(picked(1000), 0);
 }
 
 // The list may tell of a server before this VM has read the order that it was started for.
-TEST_F(RolloutKeeperTest, AServerOfAnUnknownVersionWaitsUntilItsOrderWouldBeKnown)
+TEST_F(RolloutAgentTest, AServerOfAnUnknownVersionWaitsUntilItsOrderWouldBeKnown)
 {
     list("new-1", "v2", 110);
     EXPECT_EQ(eligibility("old-1"), Eligibility::Preferred);
@@ -155,7 +155,7 @@
     EXPECT_EQ(eligibility("new-1"), Eligibility::Preferred);
 }
 
-TEST_F(RolloutKeeperTest, AProcessThatHasJustBegunServesByWhatItHas)
+TEST_F(RolloutAgentTest, AProcessThatHasJustBegunServesByWhatItHas)
 {
     list("first", "v1", 110);
     EXPECT_EQ(eligibility("first"), Eligibility::Fallback);
@@ -163,14 +163,14 @@
     EXPECT_EQ(eligibility("first"), Eligibility::Preferred);
 }
 
-TEST_F(RolloutKeeperTest, AnOrderedVersionGetsNothingBeforeItsTrialBegins)
+TEST_F(RolloutAgentTest, AnOrderedVersionGetsNothingBeforeItsTrialBegins)
 {
     order();
     EXPECT_EQ(eligibility("new-1"), Eligibility::None);
     EXPECT_EQ(picked(1000), 0);
 }
 
-TEST_F(RolloutKeeperTest, ATrialGetsItsPartAndNoMore)
+TEST_F(RolloutAgentTest, ATrialGetsItsPartAndNoMore)
 {
     order();
     write(Phase::Trial);
@@ -185,7 +185,7 @@
     EXPECT_EQ(eligibility("old-1", VersionPick::OnTrial), Eligibility::None);
 }
 
-TEST_F(RolloutKeeperTest, ATrialStopsWithoutFreshKnowledgeWithoutAJudgeAndAtItsEnd)
+TEST_F(RolloutAgentTest, ATrialStopsWithoutFreshKnowledgeWithoutAJudgeAndAtItsEnd)
 {
     order();
     write(Phase::Trial);
@@ -194,35 +194,35 @@
     EXPECT_EQ(picked(200), 0);
     confirmedAt_ = loop_->now();
     EXPECT_GT(picked(200), 0);
-    hearsJudge_ = false;
+    hearsController_ = false;
     EXPECT_EQ(picked(200), 0);
-    hearsJudge_ = true;
+    hearsController_ = true;
     storeNow_ = seconds(1012);
     EXPECT_EQ(picked(200), 0);
     EXPECT_NE(lines_.find("\"no_judge\""), std::string::npos);
 }
 
 // The holder of the lease may be gone: what this VM and those that it hears have seen is enough to stop.
-TEST_F(RolloutKeeperTest, ATrialStopsWhenWhatIsKnownHereSpeaksAgainstIt)
+TEST_F(RolloutAgentTest, ATrialStopsWhenWhatIsKnownHereSpeaksAgainstIt)
 {
     order();
     write(Phase::Trial);
     presence::Status status;
     status.instance = "vm-2";
     status.incarnation = 1;
-    Evidence evidence;
-    addSends(evidence[presence::nameHash(Route)].usual, 300, 3);
-    addSends(evidence[presence::nameHash(Route)].trial[1], 15, 6);
-    addSends(evidence[presence::nameHash(Route)].trial[2], 15, 6);
-    status.rollouts.push_back({presence::nameHash(Service), OrderRow, toTold(evidence), 0});
-    keeper_->takeStatus(status);
+    RolloutOutcomes outcomes;
+    addSends(outcomes[presence::nameHash(Route)].baseline, 300, 3);
+    addSends(outcomes[presence::nameHash(Route)].trial[1], 15, 6);
+    addSends(outcomes[presence::nameHash(Route)].trial[2], 15, 6);
+    status.rollouts.push_back({presence::nameHash(Service), OrderRow, toRolloutCounts(outcomes), 0});
+    agent_->receiveStatus(status);
     EXPECT_GT(picked(200), 0);
-    keeper_->tick();
+    agent_->tick();
     EXPECT_EQ(picked(200), 0);
     EXPECT_NE(lines_.find("\"looks_bad\""), std::string::npos);
 }
 
-TEST_F(RolloutKeeperTest, TrafficMovesAndTheOthersStayForNeed)
+TEST_F(RolloutAgentTest, TrafficMovesAndTheOthersStayForNeed)
 {
     order();
     write(Phase::Moving);
@@ -231,11 +231,11 @@
     EXPECT_EQ(picked(200), 0);
 }
 
-TEST_F(RolloutKeeperTest, TellsWhenTheOthersStop)
+TEST_F(RolloutAgentTest, TellsWhenTheOthersStop)
 {
     order();
     std::optional<TimePoint> stopAt;
-    keeper_->onMoving([&stopAt](const Record &, TimePoint at) { stopAt = at; });
+    agent_->onMoving([&stopAt](const Record &, TimePoint at) { stopAt = at; });
     storeNow_ = seconds(1008);
     write(Phase::Moving);
     ASSERT_TRUE(stopAt);
@@ -243,7 +243,7 @@
     EXPECT_GE(*stopAt - loop_->now(), milliseconds(2000));
 }
 
-TEST_F(RolloutKeeperTest, ARolledBackVersionGetsNothingAlsoWhereItIsStillListed)
+TEST_F(RolloutAgentTest, ARolledBackVersionGetsNothingAlsoWhereItIsStillListed)
 {
     order();
     write(Phase::Trial);
@@ -251,10 +251,10 @@
     EXPECT_EQ(eligibility("new-1"), Eligibility::None);
     EXPECT_EQ(eligibility("old-1"), Eligibility::Preferred);
     EXPECT_EQ(picked(200), 0);
-    EXPECT_FALSE(keeper_->isUnderWay(Service));
+    EXPECT_FALSE(agent_->isUnderWay(Service));
 }
 
-TEST_F(RolloutKeeperTest, ALateRecordChangesNothing)
+TEST_F(RolloutAgentTest, ALateRecordChangesNothing)
 {
     order();
     write(Phase::RolledBack);
@@ -264,69 +264,69 @@
     EXPECT_EQ(picked(200), 0);
 }
 
-TEST_F(RolloutKeeperTest, CountsWhatRunsAtTheOtherVersions)
+TEST_F(RolloutAgentTest, CountsWhatRunsAtTheOtherVersions)
 {
     order();
     write(Phase::Moving);
     const auto &old = directory_->findNamed("old-1")->server;
-    keeper_->noteSent(old);
-    keeper_->noteSent(old);
-    keeper_->noteEnded(old);
-    keeper_->noteSent(directory_->findNamed("new-1")->server);
-    EXPECT_EQ(keeper_->openAtOthers(Service), 1U);
+    agent_->noteSent(old);
+    agent_->noteSent(old);
+    agent_->noteEnded(old);
+    agent_->noteSent(directory_->findNamed("new-1")->server);
+    EXPECT_EQ(agent_->openAtOtherVersions(Service), 1U);
     presence::Status status;
     status.instance = "vm-2";
     status.rollouts.push_back({presence::nameHash(Service), OrderRow, {}, 5});
-    keeper_->takeStatus(status);
-    EXPECT_EQ(keeper_->openAtOthers(Service), 6U);
+    agent_->receiveStatus(status);
+    EXPECT_EQ(agent_->openAtOtherVersions(Service), 6U);
     clock_.advance(seconds(4));
-    EXPECT_EQ(keeper_->openAtOthers(Service), 1U);
+    EXPECT_EQ(agent_->openAtOtherVersions(Service), 1U);
 }
 
-TEST_F(RolloutKeeperTest, TellsWhatRequestsCameToSinceTheTrialBegan)
+TEST_F(RolloutAgentTest, TellsWhatRequestsCameToSinceTheTrialBegan)
 {
     order();
     const auto server = directory_->findNamed("new-1")->server;
-    keeper_->noteOutcome(server, Route, std::nullopt);
+    agent_->noteOutcome(server, Route, std::nullopt);
     write(Phase::Trial);
-    keeper_->noteOutcome(server, Route, milliseconds(20));
-    keeper_->noteOutcome(directory_->findNamed("old-1")->server, Route, std::nullopt);
+    agent_->noteOutcome(server, Route, milliseconds(20));
+    agent_->noteOutcome(directory_->findNamed("old-1")->server, Route, std::nullopt);
     presence::Status status;
-    keeper_->fill(status);
+    agent_->fillStatus(status);
     ASSERT_EQ(status.rollouts.size(), 1U);
-    const Evidence told = fromTold(status.rollouts[0].counts);
-    const RouteEvidence &route = told.at(presence::nameHash(Route));
-    EXPECT_EQ(route.usual.failed, 1U);
+    const RolloutOutcomes told = fromRolloutCounts(status.rollouts[0].counts);
+    const RouteOutcomes &route = told.at(presence::nameHash(Route));
+    EXPECT_EQ(route.baseline.failed, 1U);
     EXPECT_EQ(route.trial.at(presence::nameHash("new-1")).total(), 1U);
 }
 
 // A version that was rolled back in the time that the copy lacks would be tried once more.
-TEST_F(RolloutKeeperTest, ARecordDoesNotGoBackWithTheStore)
+TEST_F(RolloutAgentTest, ARecordDoesNotGoBackWithTheStore)
 {
     order();
     write(Phase::RolledBack);
     restoreRecords({{Service, encodeRecord(recordIn(Phase::Trial)), {2, 150}}});
     EXPECT_EQ(eligibility("new-1"), Eligibility::None);
     EXPECT_EQ(picked(200), 0);
-    EXPECT_TRUE(keeper_->isRecordLost(Service));
-    EXPECT_EQ(keeper_->record(Service)->rowVersion, (rows::StoreVersion{2, 150})) << "what the next step is written on";
-    keeper_->takeRecords({{Service, encodeRecord(recordIn(Phase::RolledBack)), {2, 190}}});
-    EXPECT_FALSE(keeper_->isRecordLost(Service));
+    EXPECT_TRUE(agent_->isRecordLost(Service));
+    EXPECT_EQ(agent_->record(Service)->rowVersion, (rows::StoreVersion{2, 150})) << "what the next step is written on";
+    agent_->applyRecords({{Service, encodeRecord(recordIn(Phase::RolledBack)), {2, 190}}});
+    EXPECT_FALSE(agent_->isRecordLost(Service));
 }
 
 // Without its record a version that is not proved would get all requests.
-TEST_F(RolloutKeeperTest, ARecordThatTheCopyLacksIsKept)
+TEST_F(RolloutAgentTest, ARecordThatTheCopyLacksIsKept)
 {
     order();
     write(Phase::Trial);
     restoreRecords({});
     EXPECT_EQ(eligibility("new-1"), Eligibility::None);
-    EXPECT_TRUE(keeper_->isRecordLost(Service));
-    EXPECT_EQ(keeper_->record(Service)->rowVersion.number, 0U);
+    EXPECT_TRUE(agent_->isRecordLost(Service));
+    EXPECT_EQ(agent_->record(Service)->rowVersion.number, 0U);
 }
 
 // Each order brings a part of the requests that may go to a version on trial.
-TEST_F(RolloutKeeperTest, AnOrderThatIsWrittenAgainIsTheSame)
+TEST_F(RolloutAgentTest, AnOrderThatIsWrittenAgainIsTheSame)
 {
     order();
     const auto seen = lines_;
--- a/src/rollout/tests/rolloutjudge_test.cpp
+++ b/src/rollout/tests/rolloutcontroller_test.cpp
@@ -1,7 +1,7 @@
-#include "rollout/rolloutjudge.h"
+#include "rollout/rolloutcontroller.h"
 
 #include "duties/tests/dutiestest.h"
-#include "rollout/tests/evidence.h"
+#include "rollout/tests/outcomecounts.h"
 
 #include <random>
 
@@ -27,53 +27,53 @@
 }
 
 /// One VM with its part in rollouts.
-struct JudgingVm {
+struct TestVm {
     duties::Vm vm;
-    std::shared_ptr<OrderBook> orders = OrderBook::create();
-    std::shared_ptr<RolloutKeeper> keeper;
+    std::shared_ptr<OrderCache> orders = OrderCache::create();
+    std::shared_ptr<RolloutAgent> agent;
     std::shared_ptr<rows::RowWatch> watch;
-    std::shared_ptr<RolloutJudge> judge;
+    std::shared_ptr<RolloutController> controller;
 };
 
 /// VMs that share the store; what they tell each other is given to them by the test.
-class RolloutJudgeTest : public duties::DutiesTest
+class RolloutControllerTest : public duties::DutiesTest
 {
 protected:
-    JudgingVm startJudging(const std::string &instance)
+    TestVm startVm(const std::string &instance)
     {
-        JudgingVm result;
+        TestVm result;
         result.vm = start(instance);
-        KeeperTools keeperTools;
-        keeperTools.loop = loop_.get();
-        keeperTools.bounds.inForce = true;
-        keeperTools.bounds.exposureSlack = 50;
-        keeperTools.instance = instance;
-        keeperTools.orders = result.orders;
-        keeperTools.directory = directory_;
-        keeperTools.log = log_;
-        keeperTools.metrics = metrics::Metrics::create();
-        keeperTools.storeNow = [time = result.vm.time] {
+        AgentTools agentTools;
+        agentTools.loop = loop_.get();
+        agentTools.limits.isEnabled = true;
+        agentTools.limits.exposureSlack = 50;
+        agentTools.instance = instance;
+        agentTools.orders = result.orders;
+        agentTools.directory = directory_;
+        agentTools.log = log_;
+        agentTools.metrics = metrics::Metrics::create();
+        agentTools.storeNow = [time = result.vm.time] {
             return time->storeNow();
         };
-        keeperTools.vmCount = [] {
+        agentTools.vmCount = [] {
             return std::optional<std::size_t>(2);
         };
-        keeperTools.upFor = [] {
+        agentTools.upFor = [] {
             return Duration(seconds(60));
         };
-        keeperTools.recordsConfirmedAt = [loop = loop_.get()] {
+        agentTools.recordsConfirmedAt = [loop = loop_.get()] {
             return std::optional(loop->now());
         };
-        keeperTools.hearsJudge = [] {
+        agentTools.hearsController = [] {
             return true;
         };
-        result.keeper = RolloutKeeper::create(std::move(keeperTools));
+        result.agent = RolloutAgent::create(std::move(agentTools));
         watchRecords(result);
-        JudgeTools tools;
+        ControllerTools tools;
         tools.loop = loop_.get();
         tools.lease = result.vm.lease;
         tools.store = result.vm.store;
-        tools.keeper = result.keeper;
+        tools.agent = result.agent;
         tools.orders = result.orders;
         tools.directory = directory_;
         tools.log = log_;
@@ -81,18 +81,18 @@
             return time->storeNow();
         };
         tools.format = {writeStatus};
-        result.judge = RolloutJudge::start(std::move(tools));
+        result.controller = RolloutController::start(std::move(tools));
         return result;
     }
 
-    void watchRecords(JudgingVm &vm)
+    void watchRecords(TestVm &vm)
     {
         rows::WatchHandlers handlers;
-        handlers.onAll = [keeper = vm.keeper](const rows::WholeTable &whole) {
-            keeper->takeAllRecords(whole);
+        handlers.onAll = [agent = vm.agent](const rows::WholeTable &whole) {
+            agent->applyAllRecords(whole);
         };
-        handlers.onChanges = [keeper = vm.keeper](const std::vector<rows::Row> &rows) {
-            keeper->takeRecords(rows);
+        handlers.onChanges = [agent = vm.agent](const std::vector<rows::Row> &rows) {
+            agent->applyRecords(rows);
         };
         handlers.onConfirmed = [](TimePoint) {
         };
@@ -101,22 +101,22 @@
         vm.watch = rows::RowWatch::start({loop_.get(), vm.vm.store, log_}, RecordsTable, milliseconds(800), std::move(handlers));
     }
 
-    static void order(const JudgingVm &vm)
+    static void order(const TestVm &vm)
     {
         vm.orders->put({Service, "v2", seconds(12), OrderRow});
     }
 
     /// What another VM has seen of the version: @p failed of 15 answers at each of two new servers.
-    static void tell(const JudgingVm &vm, std::uint64_t failed)
+    static void tell(const TestVm &vm, std::uint64_t failed)
     {
-        Evidence evidence;
-        addSends(evidence[presence::nameHash(Route)].usual, 300, 3);
-        addSends(evidence[presence::nameHash(Route)].trial[1], 25, failed);
-        addSends(evidence[presence::nameHash(Route)].trial[2], 25, failed);
+        RolloutOutcomes outcomes;
+        addSends(outcomes[presence::nameHash(Route)].baseline, 300, 3);
+        addSends(outcomes[presence::nameHash(Route)].trial[1], 25, failed);
+        addSends(outcomes[presence::nameHash(Route)].trial[2], 25, failed);
         presence::Status status;
         status.instance = "another";
-        status.rollouts.push_back({presence::nameHash(Service), OrderRow, toTold(evidence), 0});
-        vm.keeper->takeStatus(status);
+        status.rollouts.push_back({presence::nameHash(Service), OrderRow, toRolloutCounts(outcomes), 0});
+        vm.agent->receiveStatus(status);
     }
 
     /// The state that the platform was told last; empty: none.
@@ -129,20 +129,20 @@
     std::shared_ptr<directory::Directory> directory_ = directory::Directory::create();
 };
 
-TEST_F(RolloutJudgeTest, AnOrderIsAnsweredAtOnce)
+TEST_F(RolloutControllerTest, AnOrderIsAnsweredAtOnce)
 {
-    const JudgingVm vm = startJudging("1");
+    const TestVm vm = startVm("1");
     pass(seconds(2));
     EXPECT_EQ(told(), std::nullopt);
     order(vm);
     pass(seconds(1));
     EXPECT_EQ(told(), ReportedState::Running);
-    EXPECT_EQ(vm.keeper->record(Service)->phase, Phase::Trial);
+    EXPECT_EQ(vm.agent->record(Service)->phase, Phase::Trial);
 }
 
-TEST_F(RolloutJudgeTest, ABadVersionIsRolledBackAsSoonAsItIsKnown)
+TEST_F(RolloutControllerTest, ABadVersionIsRolledBackAsSoonAsItIsKnown)
 {
-    const JudgingVm vm = startJudging("1");
+    const TestVm vm = startVm("1");
     pass(seconds(2));
     order(vm);
     pass(seconds(2));
@@ -151,9 +151,9 @@
     EXPECT_EQ(told(), ReportedState::RolledBack);
 }
 
-TEST_F(RolloutJudgeTest, AGoodVersionSucceedsBeforeTheTimeLimit)
+TEST_F(RolloutControllerTest, AGoodVersionSucceedsBeforeTheTimeLimit)
 {
-    const JudgingVm vm = startJudging("1");
+    const TestVm vm = startVm("1");
     pass(seconds(2));
     order(vm);
     pass(seconds(2));
@@ -162,32 +162,32 @@
     EXPECT_EQ(told(), ReportedState::Succeeded);
 }
 
-TEST_F(RolloutJudgeTest, OnlyTheHolderOfTheLeaseDecides)
+TEST_F(RolloutControllerTest, OnlyTheHolderOfTheLeaseDecides)
 {
-    const JudgingVm one = startJudging("1");
+    const TestVm one = startVm("1");
     pass(seconds(2));
     ASSERT_TRUE(one.vm.lease->mayAct());
-    const JudgingVm two = startJudging("2");
+    const TestVm two = startVm("2");
     order(two);
     pass(seconds(3));
     EXPECT_EQ(told(), std::nullopt);
 }
 
-TEST_F(RolloutJudgeTest, TheNextHolderGoesOnWhereTheLastOneWasCutOff)
+TEST_F(RolloutControllerTest, TheNextHolderGoesOnWhereTheLastOneWasCutOff)
 {
-    const JudgingVm one = startJudging("1");
+    const TestVm one = startVm("1");
     pass(seconds(2));
-    const JudgingVm two = startJudging("2");
+    const TestVm two = startVm("2");
     order(one);
     order(two);
     pass(seconds(2));
-    const Duration endsAt = two.keeper->record(Service)->endsAt;
+    const Duration endsAt = two.agent->record(Service)->endsAt;
     one.vm.store->faults.silent = true;
     tell(two, 10);
     pass(seconds(8));
     ASSERT_TRUE(two.vm.lease->mayAct());
     EXPECT_EQ(told(), ReportedState::RolledBack);
-    EXPECT_EQ(two.keeper->record(Service)->endsAt, endsAt) << "the time limit is that of the order";
+    EXPECT_EQ(two.agent->record(Service)->endsAt, endsAt) << "the time limit is that of the order";
     // What the first one had in mind no longer fits the record.
     one.vm.store->faults.silent = false;
     tell(one, 0);
@@ -196,16 +196,16 @@
 }
 
 // A third of the store's answers are lost, drawn anew each tenth of a second.
-class RolloutJudgeSeeds : public RolloutJudgeTest, public testing::WithParamInterface<unsigned>
+class RolloutControllerSeeds : public RolloutControllerTest, public testing::WithParamInterface<unsigned>
 {
 };
 
-TEST_P(RolloutJudgeSeeds, LostAnswersOfTheStoreTakeNoStepBack)
+TEST_P(RolloutControllerSeeds, LostAnswersOfTheStoreTakeNoStepBack)
 {
     constexpr int StepsBetweenDraws = 10;
     constexpr double Lost = 0.3;
     std::mt19937 random(GetParam());
-    const JudgingVm vm = startJudging("1");
+    const TestVm vm = startVm("1");
     pass(seconds(2));
     order(vm);
     pass(seconds(1));
@@ -225,12 +225,12 @@
     EXPECT_EQ(told(), ReportedState::Succeeded);
 }
 
-INSTANTIATE_TEST_SUITE_P(Seeds, RolloutJudgeSeeds, testing::Range(1U, 21U));
+INSTANTIATE_TEST_SUITE_P(Seeds, RolloutControllerSeeds, testing::Range(1U, 21U));
 
 // What the platform was told must not go back with the store.
-TEST_F(RolloutJudgeTest, ARecordThatWasLostIsWrittenAgain)
+TEST_F(RolloutControllerTest, ARecordThatWasLostIsWrittenAgain)
 {
-    const JudgingVm vm = startJudging("1");
+    const TestVm vm = startVm("1");
     pass(seconds(2));
     order(vm);
     pass(seconds(2));
@@ -242,7 +242,7 @@
     ASSERT_EQ(told(), ReportedState::Running);
     pass(seconds(3));
     EXPECT_EQ(told(), ReportedState::RolledBack);
-    EXPECT_FALSE(vm.keeper->isRecordLost(Service));
+    EXPECT_FALSE(vm.agent->isRecordLost(Service));
 }
 
 } // namespace
--- a/src/rollout/tests/rolloutmodel.h
+++ b/src/rollout/tests/rolloutmodel.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "rollout/exposureaccount.h"
+#include "rollout/exposurebudget.h"
 #include "rollout/rolloutplan.h"
 #include "rollout/trialslice.h"
 #include "rollout/verdictrules.h"
@@ -36,18 +36,18 @@
     std::size_t vms = 63;
     std::size_t servers = 112; ///< Of the new version.
     double requestsPerSecond = 430;
-    Duration length = std::chrono::seconds(12);
+    Duration timeLimit = std::chrono::seconds(12);
     Duration start = std::chrono::seconds(4); ///< From the order until the new servers serve.
     Fault fault = Fault::None;
     double portion = 0.4; ///< Of the answers that a bad version spoils.
     double slowness = 4; ///< How many times as long a slow answer takes.
     Noise noise;
-    Verdict (*rule)(const Evidence &all, std::span<const Evidence> recent) = judge; ///< What the version is judged by.
+    Verdict (*rule)(const RolloutOutcomes &all, std::span<const RolloutOutcomes> recent) = evaluateTrial; ///< What the version is judged by.
     std::uint64_t seed = 1;
 };
 
 /// What came of it.
-struct Outcome {
+struct SimulationResult {
     Phase phase = Phase::Trial;
     Duration endedAt{0}; ///< Since the order: when the last phase was written.
     std::uint64_t requests = 0;
@@ -59,28 +59,28 @@
 };
 
 /// Plays the decisions of all VMs and of the judge, with news of its usual age, on a clock of its own.
-class Play
+class Simulation
 {
 public:
-    explicit Play(const Scenario &scenario)
+    explicit Simulation(const Scenario &scenario)
         : scenario_(scenario)
         , random_(scenario.seed)
     {
-        bounds_.exposureSlack = 50;
-        order_ = {"service", "v2", scenario.length, 1};
+        limits_.exposureSlack = 50;
+        order_ = {"service", "v2", scenario.timeLimit, 1};
         std::uniform_real_distribution<double> draw;
         for (std::size_t i = 0; i < scenario.vms; i++) {
-            vms_.push_back({ExposureAccount::create(bounds_, scenario.vms, draw(random_)), span(100, 1200), span(200, 900)});
+            vms_.push_back({ExposureBudget::create(limits_, scenario.vms, draw(random_)), span(100, 1200), span(200, 900)});
         }
         grey_ = 1 + random_() % scenario.servers;
         crashed_ = 1 + random_() % scenario.servers;
     }
 
-    Outcome run()
+    SimulationResult run()
     {
         std::exponential_distribution<double> gap(1.0);
         Duration nextTick = std::chrono::milliseconds(500);
-        while (now_ < scenario_.length) {
+        while (now_ < scenario_.timeLimit) {
             const bool isBurst = scenario_.noise.hasBurst && isWithin(std::chrono::seconds(6), std::chrono::seconds(9));
             const double rate = scenario_.requestsPerSecond * (isBurst ? 2 : 1);
             now_ += Duration(static_cast<std::int64_t>(gap(random_) / rate * 1e6));
@@ -90,17 +90,17 @@
             }
             request(isBurst);
         }
-        while (record_ && !isOver(record_->phase) && nextTick < scenario_.length + std::chrono::seconds(5)) {
+        while (record_ && !isOver(record_->phase) && nextTick < scenario_.timeLimit + std::chrono::seconds(5)) {
             tick(nextTick);
             nextTick += std::chrono::milliseconds(250);
         }
-        outcome_.exposureBound = bounds_.exposureShare * static_cast<double>(outcome_.requests) + bounds_.exposureSlack;
-        return outcome_;
+        result_.exposureBound = limits_.exposureShare * static_cast<double>(result_.requests) + limits_.exposureSlack;
+        return result_;
     }
 
 private:
     struct Vm {
-        ExposureAccount account;
+        ExposureBudget budget;
         Duration hearsAfter; ///< Of a record that was written.
         Duration toldAfter; ///< The judge hears of its outcomes.
     };
@@ -116,7 +116,7 @@
     }
 
     /// The phase that @p vm goes by now.
-    std::optional<Phase> phaseAt(const Vm &vm) const
+    std::optional<Phase> phaseStartedAt(const Vm &vm) const
     {
         std::optional<Phase> phase;
         for (const auto &[writtenAt, written] : written_) {
@@ -138,19 +138,19 @@
     {
         Vm &vm = vms_[random_() % vms_.size()];
         const std::size_t route = drawRoute();
-        outcome_.requests++;
-        vm.account.earn(route + 1);
-        const auto phase = phaseAt(vm);
+        result_.requests++;
+        vm.budget.addRequest(route + 1);
+        const auto phase = phaseStartedAt(vm);
         const bool isUp = now_ >= scenario_.start;
-        const bool isOpen = trialSlice(now_, scenario_.servers, bounds_.exposureShare).isOpen;
-        const bool isTrial = phase == Phase::Trial && isUp && isOpen && vm.account.take(route + 1);
+        const bool isOpen = trialSlice(now_, scenario_.servers, limits_.exposureShare).isOpen;
+        const bool isTrial = phase == Phase::Trial && isUp && isOpen && vm.budget.take(route + 1);
         const bool isMoved = phase == Phase::Moving || phase == Phase::Succeeded;
         answer(vm, route, isTrial || isMoved, isTrial, isBurst);
     }
 
     std::uint64_t drawServer(bool isTrial)
     {
-        const TrialSlice slice = trialSlice(now_, scenario_.servers, bounds_.exposureShare);
+        const TrialSlice slice = trialSlice(now_, scenario_.servers, limits_.exposureShare);
         const std::size_t most = isTrial ? slice.servers : scenario_.servers;
         const std::uint64_t first = isTrial ? slice.number * most : 0;
         return 1 + (first + random_() % most) % scenario_.servers;
@@ -176,7 +176,7 @@
         case Fault::Slow:
             return true;
         case Fault::TurnsBad:
-            return now_ >= scenario_.length / 2;
+            return now_ >= scenario_.timeLimit / 2;
         case Fault::FailsUnderLoad:
             return isLoad;
         case Fault::FailsOnOneRoute:
@@ -198,8 +198,8 @@
         if (isNew) {
             const std::uint64_t server = drawServer(isTrial);
             result.trialServer = server;
-            outcome_.exposed++;
-            outcome_.lastSendAt = now_;
+            result_.exposed++;
+            result_.lastSendAt = now_;
             const bool isSpoilt = isFaulty(route, server) && draw(random_) < scenario_.portion;
             took *= isTrial ? 1.3 : 1; // Cold caches.
             took *= isSpoilt && scenario_.fault == Fault::Slow ? scenario_.slowness : 1;
@@ -215,16 +215,16 @@
 
     void noteBad(bool isBad)
     {
-        outcome_.badAnswers += isBad ? 1 : 0;
-        if (isBad && outcome_.badAnswers == 50) {
-            outcome_.fiftiethBadAt = now_;
+        result_.badAnswers += isBad ? 1 : 0;
+        if (isBad && result_.badAnswers == 50) {
+            result_.fiftiethBadAt = now_;
         }
     }
 
     void tick(Duration at)
     {
         while (!coming_.empty() && coming_.begin()->first <= at) {
-            note(evidence_, coming_.begin()->second);
+            note(outcomes_, coming_.begin()->second);
             coming_.erase(coming_.begin());
         }
         PlanInput input;
@@ -232,26 +232,26 @@
         input.record = record_ ? &*record_ : nullptr;
         input.storeNow = at;
         if (record_) {
-            std::vector<Evidence> recent;
+            std::vector<RolloutOutcomes> recent;
             for (const Duration span : {std::chrono::seconds(2), std::chrono::seconds(5)}) {
                 const auto from = snapshots_.upper_bound(at - span);
                 if (from != snapshots_.begin()) {
-                    recent.push_back(since(evidence_, std::prev(from)->second));
+                    recent.push_back(since(outcomes_, std::prev(from)->second));
                 }
             }
-            input.verdict = scenario_.rule(evidence_, recent);
-            snapshots_[at] = evidence_;
+            input.verdict = scenario_.rule(outcomes_, recent);
+            snapshots_[at] = outcomes_;
         }
         if (const auto next = nextRecord(input)) {
             record_ = next;
             written_.emplace_back(at, next->phase);
-            outcome_.phase = next->phase;
-            outcome_.endedAt = at;
+            result_.phase = next->phase;
+            result_.endedAt = at;
         }
     }
 
     Scenario scenario_;
-    Bounds bounds_;
+    RolloutLimits limits_;
     std::mt19937_64 random_;
     Duration now_{0};
     Order order_;
@@ -261,10 +261,10 @@
     std::optional<Record> record_;
     std::vector<std::pair<Duration, Phase>> written_;
     std::multimap<Duration, SendOutcome> coming_; ///< By when the judge hears of it.
-    Evidence evidence_;
-    std::map<Duration, Evidence> snapshots_;
+    RolloutOutcomes outcomes_;
+    std::map<Duration, RolloutOutcomes> snapshots_;
     std::map<std::uint64_t, std::deque<Duration>> sends_; ///< Of the last second, by server.
-    Outcome outcome_;
+    SimulationResult result_;
 };
 
 } // namespace cardamomlift::rollout::model
--- a/src/rollout/tests/rolloutmodel_test.cpp
+++ b/src/rollout/tests/rolloutmodel_test.cpp
@@ -28,13 +28,13 @@
                 scenario.requestsPerSecond = fleet.requestsPerSecond;
                 scenario.fault = fault;
                 scenario.seed = static_cast<std::uint64_t>(seed);
-                const Outcome outcome = Play(scenario).run();
+                const SimulationResult outcome = Simulation(scenario).run();
                 const std::string place = testing::PrintToString(fleet.vms) + " VMs, fault " + testing::PrintToString(static_cast<int>(fault)) + ", seed "
                     + testing::PrintToString(seed);
                 EXPECT_EQ(outcome.phase, Phase::RolledBack) << place;
                 EXPECT_LE(static_cast<double>(outcome.exposed), outcome.exposureBound) << place;
                 if (outcome.fiftiethBadAt) {
-                    EXPECT_LE(*outcome.lastSendAt - *outcome.fiftiethBadAt, Bounds().rollbackWithin) << place;
+                    EXPECT_LE(*outcome.lastSendAt - *outcome.fiftiethBadAt, RolloutLimits().rollbackWithin) << place;
                 }
             }
         }
@@ -48,9 +48,9 @@
             Scenario scenario;
             scenario.noise = noise;
             scenario.seed = static_cast<std::uint64_t>(seed);
-            const Outcome outcome = Play(scenario).run();
+            const SimulationResult outcome = Simulation(scenario).run();
             EXPECT_EQ(outcome.phase, Phase::Succeeded) << "seed " << seed;
-            EXPECT_LE(outcome.endedAt, scenario.length) << "seed " << seed;
+            EXPECT_LE(outcome.endedAt, scenario.timeLimit) << "seed " << seed;
         }
     }
 }
--- a/src/rollout/tests/rolloutrules_test.cpp
+++ b/src/rollout/tests/rolloutrules_test.cpp
@@ -1,4 +1,4 @@
-#include "rollout/orderbook.h"
+#include "rollout/ordercache.h"
 #include "rollout/rolloutplan.h"
 #include "rollout/trialslice.h"
 #include "rollout/versionrules.h"
@@ -22,13 +22,13 @@
 Record record(Phase phase, std::uint64_t id = 10)
 {
     Record result;
-    result.order = {1, id};
+    result.orderId = {1, id};
     result.service = "service";
     result.toVersion = "v2";
     result.phase = phase;
     result.startedAt = seconds(100);
     result.endsAt = seconds(112);
-    result.phaseAt = seconds(100);
+    result.phaseStartedAt = seconds(100);
     result.excluded = {"v0"};
     result.rowVersion = {1, 20};
     return result;
@@ -42,7 +42,7 @@
 }
 
 /// The phase that follows; empty if none does.
-std::optional<Phase> next(const Record &current, Finding finding, Duration storeNow, std::uint64_t openAtOthers = 0)
+std::optional<Phase> next(const Record &current, Finding finding, Duration storeNow, std::uint64_t openAtOtherVersions = 0)
 {
     const Order newest = order();
     PlanInput input;
@@ -50,36 +50,36 @@
     input.record = &current;
     input.verdict = found(finding);
     input.storeNow = storeNow;
-    input.openAtOthers = openAtOthers;
+    input.openAtOtherVersions = openAtOtherVersions;
     const auto result = nextRecord(input);
     return result ? std::optional(result->phase) : std::nullopt;
 }
 
 TEST(VersionRules, WithoutARolloutAllVersionsAreUsable)
 {
-    EXPECT_EQ(standingOf("v1", nullptr, nullptr), Standing::Usable);
+    EXPECT_EQ(versionStateOf("v1", nullptr, nullptr), VersionState::Usable);
 }
 
 TEST(VersionRules, AnOrderThatNothingAnswersGivesItsVersionNothing)
 {
     const Order ordered = order();
-    EXPECT_EQ(standingOf("v2", &ordered, nullptr), Standing::Excluded);
-    EXPECT_EQ(standingOf("v1", &ordered, nullptr), Standing::Usable);
+    EXPECT_EQ(versionStateOf("v2", &ordered, nullptr), VersionState::Excluded);
+    EXPECT_EQ(versionStateOf("v1", &ordered, nullptr), VersionState::Usable);
 }
 
 TEST(VersionRules, FollowThePhase)
 {
     const Order ordered = order();
-    for (const auto &[phase, standing] : {std::pair(Phase::Trial, Standing::OnTrial),
-             std::pair(Phase::Moving, Standing::Preferred),
-             std::pair(Phase::Succeeded, Standing::Usable),
-             std::pair(Phase::RolledBack, Standing::Excluded)}) {
+    for (const auto &[phase, versionState] : {std::pair(Phase::Trial, VersionState::OnTrial),
+             std::pair(Phase::Moving, VersionState::Preferred),
+             std::pair(Phase::Succeeded, VersionState::Usable),
+             std::pair(Phase::RolledBack, VersionState::Excluded)}) {
         const Record current = record(phase);
-        EXPECT_EQ(standingOf("v2", &ordered, &current), standing);
-        EXPECT_EQ(standingOf("v1", &ordered, &current), Standing::Usable);
-        EXPECT_EQ(standingOf("v0", &ordered, &current), Standing::Excluded);
+        EXPECT_EQ(versionStateOf("v2", &ordered, &current), versionState);
+        EXPECT_EQ(versionStateOf("v1", &ordered, &current), VersionState::Usable);
+        EXPECT_EQ(versionStateOf("v0", &ordered, &current), VersionState::Excluded);
         // The order was withdrawn, or this VM has not read it: the record stands for it.
-        EXPECT_EQ(standingOf("v2", nullptr, &current), standing);
+        EXPECT_EQ(versionStateOf("v2", nullptr, &current), versionState);
     }
 }
 
@@ -87,10 +87,10 @@
 {
     const Order later = order(30, "v3");
     const Record trial = record(Phase::Trial);
-    EXPECT_EQ(standingOf("v2", &later, &trial), Standing::Excluded);
-    EXPECT_EQ(standingOf("v3", &later, &trial), Standing::Excluded);
+    EXPECT_EQ(versionStateOf("v2", &later, &trial), VersionState::Excluded);
+    EXPECT_EQ(versionStateOf("v3", &later, &trial), VersionState::Excluded);
     const Record proved = record(Phase::Succeeded);
-    EXPECT_EQ(standingOf("v2", &later, &proved), Standing::Usable);
+    EXPECT_EQ(versionStateOf("v2", &later, &proved), VersionState::Usable);
 }
 
 TEST(RolloutPlan, BeginsWithATrial)
@@ -103,7 +103,7 @@
     ASSERT_TRUE(begun);
     EXPECT_EQ(begun->phase, Phase::Trial);
     EXPECT_EQ(begun->endsAt, seconds(112));
-    EXPECT_EQ(begun->order.number, 10U);
+    EXPECT_EQ(begun->orderId.number, 10U);
 }
 
 TEST(RolloutPlan, TriesAsLongAsTheOrderAllows)
@@ -111,8 +111,8 @@
     const Record trial = record(Phase::Trial);
     EXPECT_EQ(next(trial, Finding::Good, seconds(105)), std::nullopt);
     EXPECT_EQ(next(trial, Finding::Good, seconds(108)), Phase::Moving);
-    EXPECT_EQ(next(trial, Finding::Unsure, seconds(109)), std::nullopt);
-    EXPECT_EQ(next(trial, Finding::Unsure, seconds(110)), Phase::RolledBack);
+    EXPECT_EQ(next(trial, Finding::Inconclusive, seconds(109)), std::nullopt);
+    EXPECT_EQ(next(trial, Finding::Inconclusive, seconds(110)), Phase::RolledBack);
 }
 
 TEST(RolloutPlan, RollsBackAtOnce)
@@ -124,17 +124,17 @@
 TEST(RolloutPlan, WaitsForWhatRunsAtTheOthers)
 {
     Record moving = record(Phase::Moving);
-    moving.phaseAt = seconds(108);
+    moving.phaseStartedAt = seconds(108);
     // No VM may have heard yet.
     EXPECT_EQ(next(moving, Finding::Good, seconds(109)), std::nullopt);
     EXPECT_EQ(next(moving, Finding::Good, seconds(110), 3), std::nullopt);
     EXPECT_EQ(next(moving, Finding::Good, seconds(110)), Phase::Succeeded);
-    EXPECT_EQ(next(moving, Finding::Good, othersStopAt(moving), 3), Phase::Succeeded);
+    EXPECT_EQ(next(moving, Finding::Good, otherVersionsStopAt(moving), 3), Phase::Succeeded);
 }
 
 TEST(RolloutPlan, NothingFollowsTheEnd)
 {
-    for (const Finding finding : {Finding::Unsure, Finding::Good, Finding::Bad}) {
+    for (const Finding finding : {Finding::Inconclusive, Finding::Good, Finding::Bad}) {
         EXPECT_EQ(next(record(Phase::Succeeded), finding, seconds(111)), std::nullopt);
         EXPECT_EQ(next(record(Phase::RolledBack), finding, seconds(111)), std::nullopt);
     }
@@ -180,7 +180,7 @@
     const Record written = record(Phase::Moving);
     Record read;
     ASSERT_TRUE(decodeRecord(encodeRecord(written), read));
-    EXPECT_EQ(read.order, written.order);
+    EXPECT_EQ(read.orderId, written.orderId);
     EXPECT_EQ(read.service, written.service);
     EXPECT_EQ(read.toVersion, written.toVersion);
     EXPECT_EQ(read.phase, written.phase);
@@ -192,9 +192,9 @@
     }
 }
 
-TEST(OrderBook, KeepsTheNewestOrder)
+TEST(OrderCache, KeepsTheNewestOrder)
 {
-    const auto book = OrderBook::create();
+    const auto book = OrderCache::create();
     int seen = 0;
     book->onOrder([&seen](const Order &) { seen++; });
     book->put(order(20, "v3"));
--- a/src/settings/settingstypes.h
+++ b/src/settings/settingstypes.h
@@ -67,7 +67,7 @@
     Duration usageDue = std::chrono::seconds(10); ///< After the end of a window.
     double retryRatio = 0.2; ///< Repeated sends over requests, to one service, by all VMs.
     double retrySlack = 10; ///< And this many more in a retry window.
-    rollout::Bounds rollouts;
+    rollout::RolloutLimits rollouts;
     double allowanceSlack = 0; ///< What all VMs together may let through above an allowance in its window.
 };
 
