--- a/src/daemon/daemon.cpp
+++ b/src/daemon/daemon.cpp
@@ -2,7 +2,7 @@
 
 #include "contract/contractreader.h"
 #include "contract/contractstore.h"
-#include "duties/dutylease.h"
+#include "duties/leaderlease.h"
 #include "eventlog/eventlog.h"
 #include "forwarding/routegateway.h"
 #include "gateway/gateway.h"
@@ -31,7 +31,7 @@
 {
     const auto &context = *static_cast<const Context *>(watcher->data);
     if (const auto gateway = context.find<forwarding::RouteGateway>()) {
-        if (const auto lease = context.find<duties::DutyLease>()) {
+        if (const auto lease = context.find<duties::LeaderLease>()) {
             lease->release();
         }
         gateway->drain([loop = context.get<Runtime>()->loop] { loop->stop(); });
--- a/src/duties/dutiesmodule.cpp
+++ b/src/duties/dutiesmodule.cpp
@@ -29,7 +29,7 @@
 
     Result<void> start(Context &context) override
     {
-        const auto api = context.find<DutyApi>();
+        const auto api = context.find<LeaderApi>();
         const auto settings = context.get<settings::Settings>();
         // Rollouts are decided by the holder of the lease, also where nothing is ordered or reported.
         if (!api && !settings->routes->rollouts.inForce) {
@@ -41,9 +41,9 @@
         leaseTools.presence = context.get<presence::Presence>();
         leaseTools.log = context.get<eventlog::EventLog>();
         leaseTools.length = settings->routes->lease;
-        const auto lease = DutyLease::start(std::move(leaseTools));
+        const auto lease = LeaderLease::start(std::move(leaseTools));
         context.set(lease);
-        context.get<metrics::Metrics>()->gauge("duty_lease_held", [lease] { return lease->mayAct() ? 1.0 : 0.0; });
+        context.get<metrics::Metrics>()->gauge("duty_lease_held", [lease] { return lease->isHeld() ? 1.0 : 0.0; });
         if (!api) {
             return success();
         }
@@ -57,7 +57,7 @@
     }
 
 private:
-    static void startReports(Context &context, const std::shared_ptr<DutyLease> &lease, const std::shared_ptr<DutyApi> &api)
+    static void startReports(Context &context, const std::shared_ptr<LeaderLease> &lease, const std::shared_ptr<LeaderApi> &api)
     {
         ReporterTools tools;
         tools.loop = context.get<Runtime>()->loop;
@@ -70,7 +70,7 @@
         context.set(UsageReporter::start(std::move(tools)));
     }
 
-    static void startOrders(Context &context, const std::shared_ptr<DutyLease> &lease, const std::shared_ptr<DutyApi> &api)
+    static void startOrders(Context &context, const std::shared_ptr<LeaderLease> &lease, const std::shared_ptr<LeaderApi> &api)
     {
         OrderTools tools;
         tools.loop = context.get<Runtime>()->loop;
--- a/src/duties/dutytypes.h
+++ b/src/duties/dutytypes.h
@@ -25,21 +25,21 @@
 };
 
 /// What became of a call to the platform.
-enum class DutyOutcome {
+enum class LeaderCallOutcome {
     Done,
     Refused, ///< Nothing of the kind is to be had there now.
     Failed, ///< Over the rate, away, or no answer: it may have been done.
 };
 
-using DutyHandler = std::function<void(DutyOutcome outcome)>;
+using LeaderCallHandler = std::function<void(LeaderCallOutcome outcome)>;
 
 /// Calls that one VM at a time makes to the platform. @p fence rises with each holder.
-class DutyApi
+class LeaderApi
 {
 public:
-    virtual ~DutyApi() = default;
-    virtual void reportUsage(std::uint64_t fence, const UsageReport &report, DutyHandler handler) = 0;
-    virtual void orderServers(std::uint64_t fence, const ServerOrder &order, DutyHandler handler) = 0;
+    virtual ~LeaderApi() = default;
+    virtual void reportUsage(std::uint64_t fence, const UsageReport &report, LeaderCallHandler handler) = 0;
+    virtual void orderServers(std::uint64_t fence, const ServerOrder &order, LeaderCallHandler handler) = 0;
 };
 
 /// The lease on all duties, as it lies in the platform's store.
--- a/src/duties/internal/dutylease.cpp
+++ b/src/duties/internal/leaderlease.cpp
@@ -1,4 +1,4 @@
-#include "duties/dutylease.h"
+#include "duties/leaderlease.h"
 
 #include <algorithm>
 
@@ -36,23 +36,23 @@
 
 } // namespace
 
-DutyLease::DutyLease(LeaseTools tools)
+LeaderLease::LeaderLease(LeaseTools tools)
     : tools_(std::move(tools))
     , restoredBy_(tools_.loop->now())
 {
 }
 
-std::shared_ptr<DutyLease> DutyLease::start(LeaseTools tools)
+std::shared_ptr<LeaderLease> LeaderLease::start(LeaseTools tools)
 {
-    std::shared_ptr<DutyLease> lease(new DutyLease(std::move(tools)));
-    DutyLease *raw = lease.get();
+    std::shared_ptr<LeaderLease> lease(new LeaderLease(std::move(tools)));
+    LeaderLease *raw = lease.get();
     raw->timer_ = raw->tools_.loop->every(TickPeriod, [raw] { raw->tick(); });
-    raw->tools_.presence->contribute([weak = std::weak_ptr<DutyLease>(lease)](presence::Status &status) {
+    raw->tools_.presence->contribute([weak = std::weak_ptr<LeaderLease>(lease)](presence::Status &status) {
         const auto self = weak.lock();
         status.holdsLease = self && self->holds_ && !self->ended_;
         status.lacksStore = self && self->lacksStore_;
     });
-    raw->tools_.store->eras().onRestored([weak = std::weak_ptr<DutyLease>(lease)] {
+    raw->tools_.store->eras().onRestored([weak = std::weak_ptr<LeaderLease>(lease)] {
         if (const auto self = weak.lock()) {
             self->sawRestore_ = true;
             self->restoredBy_ = self->tools_.loop->now();
@@ -61,29 +61,29 @@
     return lease;
 }
 
-DutyLease::~DutyLease()
+LeaderLease::~LeaderLease()
 {
     tools_.loop->cancel(timer_);
 }
 
-bool DutyLease::mayAct() const
+bool LeaderLease::isHeld() const
 {
     return holds_ && !ended_ && tools_.loop->now() < heldUntil_;
 }
 
-std::uint64_t DutyLease::fence() const
+std::uint64_t LeaderLease::fence() const
 {
     return row_.fence;
 }
 
-const LeaseRow &DutyLease::row() const
+const LeaseRow &LeaderLease::row() const
 {
     return row_;
 }
 
 // The one that runs longest of those that reach the store, so that they do not all try at once: it has heard what the VMs
 // that ended since have counted, which a process that has just begun has not.
-bool DutyLease::isMyTurn() const
+bool LeaderLease::isMyTurn() const
 {
     const auto heard = tools_.presence->heardLately(std::max(HeardWithin, tools_.presence->period() * 2));
     return std::none_of(heard.begin(), heard.end(), [this](const presence::Peer *peer) {
@@ -93,7 +93,7 @@
     });
 }
 
-void DutyLease::tick()
+void LeaderLease::tick()
 {
     const TimePoint now = tools_.loop->now();
     if (writing_) {
@@ -128,12 +128,12 @@
     observe();
 }
 
-void DutyLease::renew()
+void LeaderLease::renew()
 {
     write(row_, version_, [](bool) {});
 }
 
-void DutyLease::observe()
+void LeaderLease::observe()
 {
     // Once seen, the row need not be read again until the lease must have run out.
     if (seenAt_ && tools_.loop->now() - *seenAt_ < tools_.length + TakeMargin) {
@@ -142,7 +142,7 @@
     readRow();
 }
 
-void DutyLease::readRow()
+void LeaderLease::readRow()
 {
     if (reading_) {
         return;
@@ -156,7 +156,7 @@
     });
 }
 
-void DutyLease::onRow(const rows::ReadResult &result)
+void LeaderLease::onRow(const rows::ReadResult &result)
 {
     lacksStore_ = result.failure != rows::StoreFailure::None;
     if (lacksStore_ || writing_ || ended_) {
@@ -170,15 +170,15 @@
 }
 
 // The row as this VM knows it is of an earlier era than the store.
-bool DutyLease::isBeforeRestore() const
+bool LeaderLease::isBeforeRestore() const
 {
     return version_.era < tools_.store->eras().current();
 }
 
 // While this VM holds the lease nobody else can have taken it: who does has waited for longer than the lease, in this era too.
-void DutyLease::rewriteOver(const rows::RowPage &page)
+void LeaderLease::rewriteOver(const rows::RowPage &page)
 {
-    if (!mayAct()) {
+    if (!isHeld()) {
         return;
     }
     const auto found = findRow(page.rows);
@@ -195,7 +195,7 @@
     write(row_, found ? found->version : rows::StoreVersion{page.version.era, 0}, [](bool) {});
 }
 
-void DutyLease::takeRow(const rows::ReadResult &result)
+void LeaderLease::takeRow(const rows::ReadResult &result)
 {
     const std::uint64_t era = result.page.version.era;
     const auto found = findRow(result.page.rows);
@@ -223,13 +223,13 @@
     }
 }
 
-std::uint64_t DutyLease::nextFence(const LeaseRow &before) const
+std::uint64_t LeaderLease::nextFence(const LeaseRow &before) const
 {
     const std::uint64_t firstOfEra = tools_.store->eras().current() * FencesPerEra;
     return std::max({before.fence, row_.fence, firstOfEra}) + 1;
 }
 
-void DutyLease::tryTake(const LeaseRow &before, rows::StoreVersion expectedVersion)
+void LeaderLease::tryTake(const LeaseRow &before, rows::StoreVersion expectedVersion)
 {
     LeaseRow row = before;
     if (row_.reportedWindow > row.reportedWindow) {
@@ -246,16 +246,16 @@
     write(std::move(row), expectedVersion, [](bool) {});
 }
 
-void DutyLease::update(LeaseRow row, std::function<void(bool written)> done)
+void LeaderLease::update(LeaseRow row, std::function<void(bool written)> done)
 {
-    if (!mayAct() || writing_ || isBeforeRestore()) {
+    if (!isHeld() || writing_ || isBeforeRestore()) {
         done(false);
         return;
     }
     write(std::move(row), version_, std::move(done));
 }
 
-void DutyLease::write(LeaseRow row, rows::StoreVersion expectedVersion, std::function<void(bool written)> done)
+void LeaderLease::write(LeaseRow row, rows::StoreVersion expectedVersion, std::function<void(bool written)> done)
 {
     writing_ = true;
     rows::RowWrite write;
@@ -274,7 +274,7 @@
     });
 }
 
-void DutyLease::onWritten(const LeaseRow &row, TimePoint sentAt, const rows::WriteResult &result, const std::function<void(bool written)> &done)
+void LeaderLease::onWritten(const LeaseRow &row, TimePoint sentAt, const rows::WriteResult &result, const std::function<void(bool written)> &done)
 {
     lacksStore_ = result.outcome == rows::WriteOutcome::NotWritten || result.outcome == rows::WriteOutcome::Unknown;
     if (result.outcome == rows::WriteOutcome::Written) {
@@ -307,24 +307,24 @@
     done(false);
 }
 
-TimePoint DutyLease::restoredBy() const
+TimePoint LeaderLease::restoredBy() const
 {
     return restoredBy_;
 }
 
-void DutyLease::noteArrived(std::int64_t window)
+void LeaderLease::noteArrived(std::int64_t window)
 {
     row_.arrivedWindow = std::max(row_.arrivedWindow, window);
 }
 
-void DutyLease::lose(std::string_view reason)
+void LeaderLease::lose(std::string_view reason)
 {
     holds_ = false;
     seenAt_.reset();
     tools_.log->write(Event::LeaseLost, {{Attribute::Fence, static_cast<std::int64_t>(row_.fence)}, {Attribute::Reason, reason}});
 }
 
-void DutyLease::release()
+void LeaderLease::release()
 {
     ended_ = true;
     if (!writing_) {
@@ -333,7 +333,7 @@
 }
 
 // Tried until it stands: while the row names this VM, the others must wait until the lease has run out.
-void DutyLease::tryRelease()
+void LeaderLease::tryRelease()
 {
     if (!holds_ || isBeforeRestore()) {
         return;
--- a/src/duties/internal/orderkeeper.cpp
+++ b/src/duties/internal/orderkeeper.cpp
@@ -66,7 +66,7 @@
 void OrderKeeper::tick()
 {
     const auto manifest = tools_.manifests->current();
-    if (!manifest || !tools_.lease->mayAct() || tools_.directory->size() == 0) {
+    if (!manifest || !tools_.lease->isHeld() || tools_.directory->size() == 0) {
         return;
     }
     if (fence_ != tools_.lease->fence()) {
@@ -129,12 +129,12 @@
     Remembered &remembered = remembered_[service.name];
     const bool isListShort = mayLackServers(remembered, present, need);
     const PlanGoal goal = updateGoal(remembered.need, need, present, zones.size(), *service.scaling, tools_.loop->now());
-    const bool isHeld = isRollingOut(service.name);
+    const bool isInRollout = isRollingOut(service.name);
     for (ServerOrder &order : planOrders(service.name, *service.scaling, zones, goal)) {
         const auto zone = std::find_if(zones.begin(), zones.end(), [&](const ZoneServers &entry) { return entry.zone == order.zone; });
         const int there = order.isReclaimable ? zone->reclaimable : zone->ordinary;
         // While servers of two versions run side by side, a lower order might end those that carry the traffic.
-        if (isHeld && order.wanted <= there) {
+        if (isInRollout && order.wanted <= there) {
             continue;
         }
         order.wanted = std::min(service.scaling->most, order.wanted + (order.isReclaimable ? zone->unprovedReclaimable : zone->unproved));
@@ -157,7 +157,7 @@
 {
     return std::any_of(tools_.zones.begin(), tools_.zones.end(), [this, &service](const std::string &zone) {
         const auto said = said_.find({service, zone, true});
-        return said != said_.end() && said->second.outcome == DutyOutcome::Refused;
+        return said != said_.end() && said->second.outcome == LeaderCallOutcome::Refused;
     });
 }
 
@@ -182,7 +182,7 @@
         return said.wanted >= 0 || present != order.wanted;
     }
     const Duration since = tools_.loop->now() - said.at;
-    if (said.outcome != DutyOutcome::Done) {
+    if (said.outcome != LeaderCallOutcome::Done) {
         return since >= RepeatAfter;
     }
     return present < order.wanted && since >= scaling.startup + LateAfter;
@@ -193,14 +193,14 @@
     Said &said = said_[{order.service, order.zone, order.isReclaimable}];
     said.wanted = order.wanted;
     said.at = tools_.loop->now();
-    if (!tools_.lease->mayAct()) {
-        said.outcome = DutyOutcome::Failed;
+    if (!tools_.lease->isHeld()) {
+        said.outcome = LeaderCallOutcome::Failed;
         return;
     }
     // NOTE The last outcome stays until the answer: whether there is stock is judged by it.
     said.isOpen = true;
     tools_.metrics->add("server_orders_total");
-    tools_.api->orderServers(tools_.lease->fence(), order, [weak = weak_from_this(), order, present, fence = fence_](DutyOutcome outcome) {
+    tools_.api->orderServers(tools_.lease->fence(), order, [weak = weak_from_this(), order, present, fence = fence_](LeaderCallOutcome outcome) {
         const auto self = weak.lock();
         if (!self || self->fence_ != fence) {
             return;
@@ -208,7 +208,7 @@
         Said &entry = self->said_[{order.service, order.zone, order.isReclaimable}];
         entry.isOpen = false;
         entry.outcome = outcome;
-        self->tools_.log->write(outcome == DutyOutcome::Done ? Event::OrderSent : Event::OrderRefused,
+        self->tools_.log->write(outcome == LeaderCallOutcome::Done ? Event::OrderSent : Event::OrderRefused,
             {{Attribute::Service, order.service},
                 {Attribute::Zone, order.zone},
                 {Attribute::Reason, order.isReclaimable ? "reclaimable" : "ordinary"},
@@ -216,9 +216,9 @@
                 {Attribute::Present, std::int64_t(present)},
                 {Attribute::Fence, static_cast<std::int64_t>(fence)},
                 {Attribute::Outcome,
-                    outcome == DutyOutcome::Refused    ? "none_available"
-                        : outcome == DutyOutcome::Done ? "done"
-                                                       : "failed"}});
+                    outcome == LeaderCallOutcome::Refused    ? "none_available"
+                        : outcome == LeaderCallOutcome::Done ? "done"
+                                                             : "failed"}});
     });
 }
 
--- a/src/duties/internal/usagereporter.cpp
+++ b/src/duties/internal/usagereporter.cpp
@@ -37,7 +37,7 @@
 
 void UsageReporter::tick()
 {
-    if (busy_ || !tools_.lease->mayAct() || !tools_.manifests->current()) {
+    if (busy_ || !tools_.lease->isHeld() || !tools_.manifests->current()) {
         return;
     }
     const LeaseRow &row = tools_.lease->row();
@@ -117,21 +117,21 @@
     const LeaseRow &row = tools_.lease->row();
     const auto next = std::find_if(row.reports.begin(), row.reports.end(), [&row](const UsageReport &report) { return report.window > row.arrivedWindow; });
     busy_ = true;
-    tools_.api->reportUsage(tools_.lease->fence(), *next, [weak = weak_from_this(), window = next->window](DutyOutcome outcome) {
+    tools_.api->reportUsage(tools_.lease->fence(), *next, [weak = weak_from_this(), window = next->window](LeaderCallOutcome outcome) {
         if (const auto self = weak.lock()) {
             self->onSent(window, outcome);
         }
     });
 }
 
-void UsageReporter::onSent(std::int64_t window, DutyOutcome outcome)
+void UsageReporter::onSent(std::int64_t window, LeaderCallOutcome outcome)
 {
     busy_ = false;
     tools_.log->write(Event::UsageReported,
         {{Attribute::Window, window},
-            {Attribute::Outcome, outcome == DutyOutcome::Done ? "done" : "failed"},
+            {Attribute::Outcome, outcome == LeaderCallOutcome::Done ? "done" : "failed"},
             {Attribute::Fence, static_cast<std::int64_t>(tools_.lease->fence())}});
-    if (outcome != DutyOutcome::Done) {
+    if (outcome != LeaderCallOutcome::Done) {
         return;
     }
     tools_.lease->noteArrived(window);
--- a/src/duties/dutylease.h
+++ b/src/duties/leaderlease.h
@@ -24,14 +24,14 @@
 /// only after it has seen the same version of the row for longer than the lease, by its own clock; so no clocks are compared.
 /// After the store was restored from an older copy the row may name a holder of before; then nobody takes the lease sooner,
 /// and a VM that holds it writes the row anew.
-class DutyLease : public std::enable_shared_from_this<DutyLease>
+class LeaderLease : public std::enable_shared_from_this<LeaderLease>
 {
 public:
-    static std::shared_ptr<DutyLease> start(LeaseTools tools);
-    ~DutyLease();
+    static std::shared_ptr<LeaderLease> start(LeaseTools tools);
+    ~LeaderLease();
 
     /// True if this VM may call the platform now. Asked right before each call, not once for several.
-    bool mayAct() const;
+    bool isHeld() const;
     std::uint64_t fence() const;
     /// The row as this VM has written it last; only while it holds the lease.
     const LeaseRow &row() const;
@@ -45,7 +45,7 @@
     void release();
 
 private:
-    explicit DutyLease(LeaseTools tools);
+    explicit LeaderLease(LeaseTools tools);
     void tick();
     void renew();
     void observe();
--- a/src/duties/orderkeeper.h
+++ b/src/duties/orderkeeper.h
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "directory/directory.h"
-#include "duties/dutylease.h"
+#include "duties/leaderlease.h"
 #include "duties/orderplan.h"
 #include "duties/servergoal.h"
 #include "forwarding/versiongate.h"
@@ -19,8 +19,8 @@
 /// What the keeper works with.
 struct OrderTools {
     EventLoop *loop = nullptr;
-    std::shared_ptr<DutyLease> lease;
-    std::shared_ptr<DutyApi> api;
+    std::shared_ptr<LeaderLease> lease;
+    std::shared_ptr<LeaderApi> api;
     std::shared_ptr<directory::Directory> directory;
     std::shared_ptr<manifest::ManifestKeeper> manifests;
     std::shared_ptr<eventlog::EventLog> log;
@@ -43,7 +43,7 @@
     using Subject = std::tuple<std::string, std::string, bool>;
     struct Said {
         int wanted = -1;
-        DutyOutcome outcome = DutyOutcome::Failed;
+        LeaderCallOutcome outcome = LeaderCallOutcome::Failed;
         TimePoint at;
         bool isOpen = false;
     };
--- a/src/duties/tests/duties_test.cpp
+++ b/src/duties/tests/duties_test.cpp
@@ -10,8 +10,8 @@
     const Vm one = start("1");
     const Vm two = start("2");
     const Vm three = start("3");
-    pass(seconds(20), [&] { EXPECT_LE(one.lease->mayAct() + two.lease->mayAct() + three.lease->mayAct(), 1); });
-    EXPECT_EQ(one.lease->mayAct() + two.lease->mayAct() + three.lease->mayAct(), 1);
+    pass(seconds(20), [&] { EXPECT_LE(one.lease->isHeld() + two.lease->isHeld() + three.lease->isHeld(), 1); });
+    EXPECT_EQ(one.lease->isHeld() + two.lease->isHeld() + three.lease->isHeld(), 1);
 }
 
 // Of many VMs that start together each would take itself for the one that runs longest.
@@ -22,26 +22,26 @@
     pass(milliseconds(700));
     EXPECT_TRUE(rows_->read("duties", {}, 1).rows.empty());
     pass(milliseconds(700));
-    EXPECT_TRUE(one.lease->mayAct() || two.lease->mayAct());
+    EXPECT_TRUE(one.lease->isHeld() || two.lease->isHeld());
 }
 
 TEST_F(DutiesTest, AHolderThatIsCutOffStopsBeforeAnotherActs)
 {
     const Vm one = start("1");
     pass(seconds(1));
-    ASSERT_TRUE(one.lease->mayAct());
+    ASSERT_TRUE(one.lease->isHeld());
     const Vm two = start("2");
     pass(seconds(2));
-    EXPECT_FALSE(two.lease->mayAct());
+    EXPECT_FALSE(two.lease->isHeld());
     one.store->faults.silent = true;
     TimePoint stopped;
     TimePoint taken;
     pass(seconds(15), [&] {
-        EXPECT_FALSE(one.lease->mayAct() && two.lease->mayAct());
-        stopped = one.lease->mayAct() ? loop_->now() : stopped;
-        taken = two.lease->mayAct() && taken == TimePoint() ? loop_->now() : taken;
+        EXPECT_FALSE(one.lease->isHeld() && two.lease->isHeld());
+        stopped = one.lease->isHeld() ? loop_->now() : stopped;
+        taken = two.lease->isHeld() && taken == TimePoint() ? loop_->now() : taken;
     });
-    EXPECT_TRUE(two.lease->mayAct());
+    EXPECT_TRUE(two.lease->isHeld());
     EXPECT_GT(taken, stopped);
     EXPECT_GT(two.lease->fence(), one.lease->fence());
 }
@@ -51,29 +51,29 @@
 {
     const Vm one = start("1");
     pass(seconds(1));
-    ASSERT_TRUE(one.lease->mayAct());
+    ASSERT_TRUE(one.lease->isHeld());
     const Vm two = start("2");
     one.datagrams->connected = {two.datagrams.get()};
     two.datagrams->connected = {one.datagrams.get()};
     pass(seconds(2));
     one.store->faults.down = true;
-    pass(Lease * 3, [&] { EXPECT_FALSE(one.lease->mayAct() && two.lease->mayAct()); });
-    EXPECT_TRUE(two.lease->mayAct());
+    pass(Lease * 3, [&] { EXPECT_FALSE(one.lease->isHeld() && two.lease->isHeld()); });
+    EXPECT_TRUE(two.lease->isHeld());
     one.store->faults.down = false;
-    pass(seconds(5), [&] { EXPECT_FALSE(one.lease->mayAct() && two.lease->mayAct()); });
-    EXPECT_TRUE(two.lease->mayAct()) << "it keeps what it has";
+    pass(seconds(5), [&] { EXPECT_FALSE(one.lease->isHeld() && two.lease->isHeld()); });
+    EXPECT_TRUE(two.lease->isHeld()) << "it keeps what it has";
 }
 
 TEST_F(DutiesTest, AHolderThatStartsAgainTakesItsLeaseAtOnce)
 {
     Vm one = start("1");
     pass(seconds(1));
-    ASSERT_TRUE(one.lease->mayAct());
+    ASSERT_TRUE(one.lease->isHeld());
     const std::uint64_t fence = one.lease->fence();
     one = Vm();
     const Vm again = start("1");
     pass(seconds(2));
-    EXPECT_TRUE(again.lease->mayAct()) << "nobody else can act before, and its earlier process is over";
+    EXPECT_TRUE(again.lease->isHeld()) << "nobody else can act before, and its earlier process is over";
     EXPECT_GT(again.lease->fence(), fence);
 }
 
@@ -89,22 +89,22 @@
     };
     connect(one, two);
     pass(seconds(5));
-    ASSERT_TRUE(one.lease->mayAct());
+    ASSERT_TRUE(one.lease->isHeld());
     two.datagrams->connected.clear();
     one = Vm();
     one = start("1");
     connect(one, two);
-    pass(seconds(6), [&] { EXPECT_FALSE(one.lease->mayAct()); });
-    EXPECT_TRUE(two.lease->mayAct());
+    pass(seconds(6), [&] { EXPECT_FALSE(one.lease->isHeld()); });
+    EXPECT_TRUE(two.lease->isHeld());
 }
 
 TEST_F(DutiesTest, AHolderThatWasSuspendedKnowsItBeforeItActs)
 {
     const Vm one = start("1");
     pass(seconds(1));
-    ASSERT_TRUE(one.lease->mayAct());
+    ASSERT_TRUE(one.lease->isHeld());
     clock_.advance(Lease);
-    EXPECT_FALSE(one.lease->mayAct()) << "no timer has run since";
+    EXPECT_FALSE(one.lease->isHeld()) << "no timer has run since";
 }
 
 TEST_F(DutiesTest, LostAnswersOfRenewalsDoNotMakeTwoHolders)
@@ -113,10 +113,10 @@
     pass(seconds(1));
     const Vm two = start("2");
     one.store->faults.loseAnswers = true;
-    pass(seconds(8), [&] { EXPECT_FALSE(one.lease->mayAct() && two.lease->mayAct()); });
+    pass(seconds(8), [&] { EXPECT_FALSE(one.lease->isHeld() && two.lease->isHeld()); });
     one.store->faults.loseAnswers = false;
-    pass(seconds(8), [&] { EXPECT_FALSE(one.lease->mayAct() && two.lease->mayAct()); });
-    EXPECT_EQ(one.lease->mayAct() + two.lease->mayAct(), 1);
+    pass(seconds(8), [&] { EXPECT_FALSE(one.lease->isHeld() && two.lease->isHeld()); });
+    EXPECT_EQ(one.lease->isHeld() + two.lease->isHeld(), 1);
 }
 
 TEST_F(DutiesTest, AReleasedLeaseIsTakenWithoutWaiting)
@@ -127,8 +127,8 @@
     pass(seconds(1));
     one.lease->release();
     pass(seconds(4));
-    EXPECT_FALSE(one.lease->mayAct());
-    EXPECT_TRUE(two.lease->mayAct());
+    EXPECT_FALSE(one.lease->isHeld());
+    EXPECT_TRUE(two.lease->isHeld());
 }
 
 TEST_F(DutiesTest, ALeaseThatCouldNotBeReleasedInAnOutageIsReleasedAfterIt)
@@ -137,17 +137,17 @@
     pass(seconds(1));
     const Vm two = start("2");
     pass(seconds(2));
-    ASSERT_TRUE(one.lease->mayAct());
+    ASSERT_TRUE(one.lease->isHeld());
     one.store->faults.down = true;
     two.store->faults.down = true;
     one.lease->release();
     pass(seconds(2));
-    EXPECT_FALSE(one.lease->mayAct());
+    EXPECT_FALSE(one.lease->isHeld());
     one.store->faults.down = false;
     two.store->faults.down = false;
     pass(seconds(1));
-    EXPECT_TRUE(two.lease->mayAct());
-    EXPECT_FALSE(one.lease->mayAct());
+    EXPECT_TRUE(two.lease->isHeld());
+    EXPECT_FALSE(one.lease->isHeld());
 }
 
 TEST_F(DutiesTest, WhoGaveTheLeaseUpDoesNotTellTheOthersToWait)
@@ -214,7 +214,7 @@
     Vm two = start("2");
     startReports(two);
     pass(seconds(3));
-    EXPECT_TRUE(two.lease->mayAct());
+    EXPECT_TRUE(two.lease->isHeld());
     for (const auto &[window, reports] : reportedBefore) {
         EXPECT_EQ(record_.reports[window].size(), reports.size()) << window;
     }
--- a/src/duties/tests/dutiestest.h
+++ b/src/duties/tests/dutiestest.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "duties/dutylease.h"
+#include "duties/leaderlease.h"
 #include "duties/orderkeeper.h"
 #include "duties/usagereporter.h"
 #include "rows/memoryrowstore.h"
@@ -45,7 +45,7 @@
     bool isStockOut = false; ///< Reclaimable servers are refused.
 };
 
-class RecordingApi : public DutyApi
+class RecordingApi : public LeaderApi
 {
 public:
     RecordingApi(EventLoop &loop, PlatformRecord &record)
@@ -54,18 +54,18 @@
     {
     }
 
-    void reportUsage(std::uint64_t fence, const UsageReport &report, DutyHandler handler) override
+    void reportUsage(std::uint64_t fence, const UsageReport &report, LeaderCallHandler handler) override
     {
         record_.reports[report.window].push_back(report);
         record_.fences.push_back(fence);
-        loop_.post([handler = std::move(handler), lost = record_.losesAnswers] { handler(lost ? DutyOutcome::Failed : DutyOutcome::Done); });
+        loop_.post([handler = std::move(handler), lost = record_.losesAnswers] { handler(lost ? LeaderCallOutcome::Failed : LeaderCallOutcome::Done); });
     }
 
-    void orderServers(std::uint64_t, const ServerOrder &order, DutyHandler handler) override
+    void orderServers(std::uint64_t, const ServerOrder &order, LeaderCallHandler handler) override
     {
         record_.orders.push_back(order);
         const bool isRefused = order.isReclaimable && record_.isStockOut;
-        loop_.post([handler = std::move(handler), isRefused] { handler(isRefused ? DutyOutcome::Refused : DutyOutcome::Done); });
+        loop_.post([handler = std::move(handler), isRefused] { handler(isRefused ? LeaderCallOutcome::Refused : LeaderCallOutcome::Done); });
     }
 
 private:
@@ -80,7 +80,7 @@
     std::shared_ptr<presence::Presence> presence;
     std::shared_ptr<presence::TrueTime> time;
     std::shared_ptr<usage::UsageCounter> usage;
-    std::shared_ptr<DutyLease> lease;
+    std::shared_ptr<LeaderLease> lease;
     std::shared_ptr<UsageReporter> reporter;
 };
 
@@ -121,7 +121,7 @@
         leaseTools.presence = vm.presence;
         leaseTools.log = log_;
         leaseTools.length = Lease;
-        vm.lease = DutyLease::start(std::move(leaseTools));
+        vm.lease = LeaderLease::start(std::move(leaseTools));
         return vm;
     }
 
--- a/src/duties/tests/restoredlease_test.cpp
+++ b/src/duties/tests/restoredlease_test.cpp
@@ -17,7 +17,7 @@
         pass(time, [&] {
             int acting = 0;
             for (const Vm *vm : vms) {
-                if (!vm->lease->mayAct()) {
+                if (!vm->lease->isHeld()) {
                     continue;
                 }
                 acting++;
@@ -57,16 +57,16 @@
 {
     const Vm one = start("1");
     pass(seconds(1));
-    ASSERT_TRUE(one.lease->mayAct());
+    ASSERT_TRUE(one.lease->isHeld());
     const Vm two = start("2");
     const rows::MemoryRows copy = *rows_;
     one.store->faults.silent = true;
     passOrdered(seconds(6), {&one, &two});
-    ASSERT_TRUE(two.lease->mayAct());
+    ASSERT_TRUE(two.lease->isHeld());
     one.store->faults.silent = false;
     rows_->restore(copy);
     passOrdered(seconds(10), {&one, &two});
-    EXPECT_EQ(one.lease->mayAct() + two.lease->mayAct(), 1);
+    EXPECT_EQ(one.lease->isHeld() + two.lease->isHeld(), 1);
 }
 
 // A lease that was given up in the copy may have been taken since, by a VM that still acts.
@@ -77,16 +77,16 @@
     pass(seconds(1));
     const Vm three = start("3");
     pass(seconds(1));
-    (one.lease->mayAct() ? one : two).lease->release();
+    (one.lease->isHeld() ? one : two).lease->release();
     pass(milliseconds(30));
     const rows::MemoryRows copy = *rows_;
     passOrdered(seconds(4), {&one, &two, &three});
-    ASSERT_EQ(one.lease->mayAct() + two.lease->mayAct() + three.lease->mayAct(), 1);
-    const Vm &holder = three.lease->mayAct() ? three : one.lease->mayAct() ? one : two;
+    ASSERT_EQ(one.lease->isHeld() + two.lease->isHeld() + three.lease->isHeld(), 1);
+    const Vm &holder = three.lease->isHeld() ? three : one.lease->isHeld() ? one : two;
     holder.store->faults.silent = true;
     rows_->restore(copy);
     passOrdered(seconds(8), {&one, &two, &three});
-    EXPECT_EQ(one.lease->mayAct() + two.lease->mayAct() + three.lease->mayAct(), 1);
+    EXPECT_EQ(one.lease->isHeld() + two.lease->isHeld() + three.lease->isHeld(), 1);
 }
 
 // Reports that the copy lacks have been sent: their windows must not be sent with the counts of another VM.
@@ -115,14 +115,14 @@
     startReports(one);
     const Vm two = start("2");
     passWithUsage(seconds(7), one);
-    ASSERT_TRUE(one.lease->mayAct());
+    ASSERT_TRUE(one.lease->isHeld());
     const rows::MemoryRows copy = *rows_;
     passWithUsage(seconds(8), one);
     const std::uint64_t fence = one.lease->fence();
     const auto reportedBefore = record_.reports;
     rows_->restore(copy);
     passOrdered(seconds(2), {&one, &two});
-    EXPECT_TRUE(one.lease->mayAct());
+    EXPECT_TRUE(one.lease->isHeld());
     EXPECT_EQ(one.lease->fence(), fence);
     passWithUsage(seconds(10), one);
     for (const auto &[window, reports] : reportedBefore) {
@@ -167,7 +167,7 @@
 
     std::size_t mostlyTheHolder()
     {
-        const auto holder = std::find_if(vms_.begin(), vms_.end(), [](const auto &vm) { return vm->lease->mayAct(); });
+        const auto holder = std::find_if(vms_.begin(), vms_.end(), [](const auto &vm) { return vm->lease->isHeld(); });
         const bool isOther = holder == vms_.end() || random_() % 4 == 0;
         return isOther ? random_() % vms_.size() : static_cast<std::size_t>(holder - vms_.begin());
     }
@@ -224,7 +224,7 @@
     }
     passBusy(seconds(12));
     expectOneCountForEachWindow();
-    const auto acting = std::count_if(vms_.begin(), vms_.end(), [](const auto &vm) { return vm->lease->mayAct(); });
+    const auto acting = std::count_if(vms_.begin(), vms_.end(), [](const auto &vm) { return vm->lease->isHeld(); });
     EXPECT_EQ(acting, 1);
 }
 
--- a/src/duties/usagereporter.h
+++ b/src/duties/usagereporter.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "duties/dutylease.h"
+#include "duties/leaderlease.h"
 #include "manifest/manifestkeeper.h"
 #include "usage/usagecounter.h"
 
@@ -11,8 +11,8 @@
 /// What the reporter works with.
 struct ReporterTools {
     EventLoop *loop = nullptr;
-    std::shared_ptr<DutyLease> lease;
-    std::shared_ptr<DutyApi> api;
+    std::shared_ptr<LeaderLease> lease;
+    std::shared_ptr<LeaderApi> api;
     std::shared_ptr<usage::UsageCounter> usage;
     std::shared_ptr<manifest::ManifestKeeper> manifests;
     std::shared_ptr<presence::TrueTime> time;
@@ -34,7 +34,7 @@
     std::int64_t nextWindow(const LeaseRow &row, std::int64_t current, WallTime now) const;
     UsageReport makeReport(std::int64_t window) const;
     void send();
-    void onSent(std::int64_t window, DutyOutcome outcome);
+    void onSent(std::int64_t window, LeaderCallOutcome outcome);
     ReporterTools tools_;
     bool busy_ = false;
     TimerId timer_ = 0;
--- a/src/rollout/internal/rolloutjudge.cpp
+++ b/src/rollout/internal/rolloutjudge.cpp
@@ -40,7 +40,7 @@
 void RolloutJudge::tick()
 {
     const auto storeNow = tools_.storeNow();
-    if (!storeNow || !tools_.lease->mayAct()) {
+    if (!storeNow || !tools_.lease->isHeld()) {
         watched_.clear();
         return;
     }
@@ -121,7 +121,7 @@
 void RolloutJudge::write(const std::string &service, Record record, const Verdict &verdict)
 {
     // NOTE Asked right before the write: a holder that was suspended must not take a step.
-    if (!tools_.lease->mayAct()) {
+    if (!tools_.lease->isHeld()) {
         return;
     }
     Watched &watched = watched_[service];
--- a/src/rollout/rolloutjudge.h
+++ b/src/rollout/rolloutjudge.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "duties/dutylease.h"
+#include "duties/leaderlease.h"
 #include "rollout/rolloutkeeper.h"
 #include "rollout/rolloutplan.h"
 #include "rows/rowstore.h"
@@ -23,7 +23,7 @@
 /// What the judge works with.
 struct JudgeTools {
     EventLoop *loop = nullptr;
-    std::shared_ptr<duties::DutyLease> lease;
+    std::shared_ptr<duties::LeaderLease> lease;
     std::shared_ptr<rows::RowStore> store;
     std::shared_ptr<RolloutKeeper> keeper;
     std::shared_ptr<OrderBook> orders;
--- a/src/rollout/rolloutjudgemodule.cpp
+++ b/src/rollout/rolloutjudgemodule.cpp
@@ -31,7 +31,7 @@
     Result<void> start(Context &context) override
     {
         const auto keeper = context.find<RolloutKeeper>();
-        const auto lease = context.find<duties::DutyLease>();
+        const auto lease = context.find<duties::LeaderLease>();
         if (!keeper || !lease) {
             return success();
         }
--- a/src/rollout/rolloutmodule.cpp
+++ b/src/rollout/rolloutmodule.cpp
@@ -95,9 +95,9 @@
             return watch_ ? watch_->confirmedAt() : std::nullopt;
         };
         tools.hearsJudge = [presence = presence_, &context] {
-            const auto lease = context.find<duties::DutyLease>();
+            const auto lease = context.find<duties::LeaderLease>();
             const auto heard = presence->heardLately(std::max(JudgeHeardWithin, presence->period() * 2));
-            return (lease && lease->mayAct()) || std::any_of(heard.begin(), heard.end(), [](const presence::Peer *peer) { return peer->status->holdsLease; });
+            return (lease && lease->isHeld()) || std::any_of(heard.begin(), heard.end(), [](const presence::Peer *peer) { return peer->status->holdsLease; });
         };
         return tools;
     }
--- a/src/rollout/tests/rolloutjudge_test.cpp
+++ b/src/rollout/tests/rolloutjudge_test.cpp
@@ -166,7 +166,7 @@
 {
     const JudgingVm one = startJudging("1");
     pass(seconds(2));
-    ASSERT_TRUE(one.vm.lease->mayAct());
+    ASSERT_TRUE(one.vm.lease->isHeld());
     const JudgingVm two = startJudging("2");
     order(two);
     pass(seconds(3));
@@ -185,7 +185,7 @@
     one.vm.store->faults.silent = true;
     tell(two, 10);
     pass(seconds(8));
-    ASSERT_TRUE(two.vm.lease->mayAct());
+    ASSERT_TRUE(two.vm.lease->isHeld());
     EXPECT_EQ(told(), ReportedState::RolledBack);
     EXPECT_EQ(two.keeper->record(Service)->endsAt, endsAt) << "the time limit is that of the order";
     // What the first one had in mind no longer fits the record.
