--- a/src/duties/internal/leaderlease.cpp
+++ b/src/duties/internal/leaderlease.cpp
@@ -206,7 +206,7 @@
         return;
     }
     // NOTE Measured from when the question was sent, for the wait of the next holder to cover the whole lease of the last.
-    const bool wasUnchanged = seenAt_ && version_ == version && result.askedAt - *seenAt_ >= tools_.length + TakeMargin;
+    const bool wasUnchanged = seenAt_ && version_ == version && result.sentAt - *seenAt_ >= tools_.length + TakeMargin;
     // What an older copy of the store says of the holder, or that there is none, may have changed before it was restored.
     const bool isOfThisEra = found ? before.era == era : !sawRestore_;
     // An earlier process of this VM is over, and acts no more.
--- a/src/presence/internal/presence.cpp
+++ b/src/presence/internal/presence.cpp
@@ -78,7 +78,7 @@
     Presence *raw = presence.get();
     raw->tools_.datagrams->onDatagram([raw](std::string_view bytes) { raw->onDatagram(bytes); });
     rows::WatchHandlers handlers;
-    handlers.onAll = [raw](const rows::WholeTable &whole) {
+    handlers.onSnapshot = [raw](const rows::TableSnapshot &whole) {
         raw->replaceRows(whole);
     };
     handlers.onChanges = [raw](const std::vector<rows::Row> &rows) {
@@ -86,7 +86,7 @@
     };
     handlers.onConfirmed = [](TimePoint) {
     };
-    handlers.onReachable = [](bool, rows::StoreFailure) {
+    handlers.onReachabilityChanged = [](bool, rows::StoreFailure) {
     };
     raw->watch_ = rows::RowWatch::start({raw->tools_.loop, raw->tools_.store, raw->tools_.log}, Table, WatchWait, std::move(handlers));
     raw->writeRow();
@@ -128,7 +128,7 @@
 }
 
 // What the VMs have told stays: with a lost history of the store nothing has become of them.
-void Presence::replaceRows(const rows::WholeTable &whole)
+void Presence::replaceRows(const rows::TableSnapshot &whole)
 {
     std::map<std::string_view, std::string_view> listed;
     for (const rows::Row &row : whole.rows) {
@@ -226,7 +226,7 @@
 }
 
 // Most peers lack the same changes, so they are packed once a round.
-std::optional<ToldChanges> Presence::changesFor(const Peer &peer, const std::string &table, const rows::TableNews &news)
+std::optional<ToldChanges> Presence::changesFor(const Peer &peer, const std::string &table, const rows::TableDelta &news)
 {
     if (!peer.status) {
         return std::nullopt;
--- a/src/presence/internal/statusformat.cpp
+++ b/src/presence/internal/statusformat.cpp
@@ -27,7 +27,7 @@
 }
 
 /// @p told: null if there is nothing to tell.
-void addTable(wire::Status &out, const std::string &table, const rows::TableNews &news, const ToldChanges *told)
+void addTable(wire::Status &out, const std::string &table, const rows::TableDelta &news, const ToldChanges *told)
 {
     auto *entry = out.add_tables();
     entry->set_table(table);
@@ -47,9 +47,9 @@
 }
 
 /// Empty if the changes can't be read.
-std::optional<rows::TableNews> readTable(const wire::TableNews &entry)
+std::optional<rows::TableDelta> readTable(const wire::TableNews &entry)
 {
-    rows::TableNews news;
+    rows::TableDelta news;
     news.version = {entry.era(), entry.version()};
     news.since = {entry.era(), entry.since()};
     news.age = Duration(entry.age_us());
--- a/src/presence/internal/tablerelay.cpp
+++ b/src/presence/internal/tablerelay.cpp
@@ -58,7 +58,7 @@
 void TableRelay::add(std::shared_ptr<rows::RowWatch> watch, Duration askAfter)
 {
     const std::weak_ptr<rows::RowWatch> weakWatch = watch;
-    watch->setGate([weak = weak_from_this(), weakWatch, askAfter] {
+    watch->setPollCondition([weak = weak_from_this(), weakWatch, askAfter] {
         const auto self = weak.lock();
         const auto own = weakWatch.lock();
         if (!self || !own) {
@@ -71,7 +71,7 @@
         const Duration bound = self->hearsAFollower() ? askAfter : std::min(askAfter, AskAfterAlone);
         return !confirmed || self->loop_.now() - *confirmed > bound || self->follows();
     });
-    watch->onNews([weak = weak_from_this()] {
+    watch->onStoreChanges([weak = weak_from_this()] {
         if (const auto self = weak.lock()) {
             self->presence_->sendNow(Reach::All);
         }
@@ -134,14 +134,14 @@
 void TableRelay::fill(Status &status) const
 {
     for (const auto &[watch, askAfter, lacked, lackedSince] : watches_) {
-        if (auto news = watch->news()) {
+        if (auto news = watch->delta()) {
             status.tables[watch->table()] = std::move(*news);
         }
-        const auto lostUntil = watch->lostUntil();
-        if (!lostUntil || loop_.now() - *lostUntil > OutageTold) {
+        const auto lastUnreachableAt = watch->lastUnreachableAt();
+        if (!lastUnreachableAt || loop_.now() - *lastUnreachableAt > OutageTold) {
             continue;
         }
-        const Duration back = loop_.now() - *lostUntil;
+        const Duration back = loop_.now() - *lastUnreachableAt;
         status.storeBack = status.storeBack ? std::min(*status.storeBack, back) : back;
     }
 }
@@ -169,7 +169,7 @@
         if (found == status.tables.end()) {
             continue;
         }
-        const rows::TableNews &news = found->second;
+        const rows::TableDelta &news = found->second;
         const auto own = entry.watch->version();
         takeNews(entry, news, *provenAt, status.isFast && status.summaryOf.empty());
         isNews = isNews || (entry.watch->version() > own && !news.changes.empty());
@@ -181,11 +181,11 @@
 
 // NOTE That a VM which does not tell a change is ahead is no reason to ask the store: one that follows will tell it within a
 // round. Only what is too large to be told is asked for, after a while.
-void TableRelay::takeNews(Entry &entry, const rows::TableNews &news, TimePoint provenAt, bool isOfFollower)
+void TableRelay::takeNews(Entry &entry, const rows::TableDelta &news, TimePoint provenAt, bool isOfFollower)
 {
     const bool isOfOtherEra = news.version.era != entry.watch->version().era;
-    if (isOfFollower || isOfOtherEra || !entry.watch->isGap(news)) {
-        entry.watch->offer(news, provenAt);
+    if (isOfFollower || isOfOtherEra || !entry.watch->hasGap(news)) {
+        entry.watch->applyDelta(news, provenAt);
         return;
     }
     if (entry.lacked <= entry.watch->version()) {
--- a/src/presence/internal/toldchanges.cpp
+++ b/src/presence/internal/toldchanges.cpp
@@ -17,7 +17,7 @@
 
 } // namespace
 
-std::optional<ToldChanges> changesAfter(const rows::TableNews &news, rows::StoreVersion has)
+std::optional<ToldChanges> changesAfter(const rows::TableDelta &news, rows::StoreVersion has)
 {
     // What a VM of another era lacks can't be told: it reads the tables anew.
     if (has.era != news.version.era || news.since > has) {
--- a/src/presence/presence.h
+++ b/src/presence/presence.h
@@ -90,7 +90,7 @@
     void writeRow();
     void takeRows(const std::vector<rows::Row> &rows);
     void takeRow(const rows::Row &row);
-    void replaceRows(const rows::WholeTable &whole);
+    void replaceRows(const rows::TableSnapshot &whole);
     void regroup();
     void noteRegrouped() const;
     void sendRound();
@@ -100,7 +100,7 @@
     void answer(const Peer &peer);
     void sendChanges(Reach reach);
     void sendTo(const Peer &peer, const Status &status, bool tellsChanges);
-    std::optional<ToldChanges> changesFor(const Peer &peer, const std::string &table, const rows::TableNews &news);
+    std::optional<ToldChanges> changesFor(const Peer &peer, const std::string &table, const rows::TableDelta &news);
     Status makeStatus();
     void merge(Peer &peer, Status status);
     void takeSummary(Peer &peer, Status status, std::optional<TimePoint> provenAt);
--- a/src/presence/presencetypes.h
+++ b/src/presence/presencetypes.h
@@ -88,7 +88,7 @@
     std::uint64_t incarnation = 0; ///< Of its process: another one after a restart.
     std::uint64_t sequence = 0;
     Duration upFor{0}; ///< Since its process began.
-    std::map<std::string, rows::TableNews> tables; ///< What it knows of the store's tables.
+    std::map<std::string, rows::TableDelta> tables; ///< What it knows of the store's tables.
     std::uint64_t manifestVersion = 0; ///< Of the manifest in force there; 0: none.
     std::optional<Duration> storeBack; ///< Time since the store was away for it; empty if it was not lately.
     std::optional<Duration> clockOffset; ///< Its time of day less the store's clock.
--- a/src/presence/tablerelay.h
+++ b/src/presence/tablerelay.h
@@ -40,7 +40,7 @@
     bool isSource(const Status &status) const;
     bool bringsNews(const Status &status) const;
     bool lacksChange(const rows::RowWatch &watch) const;
-    void takeNews(Entry &entry, const rows::TableNews &news, TimePoint provenAt, bool isOfFollower);
+    void takeNews(Entry &entry, const rows::TableDelta &news, TimePoint provenAt, bool isOfFollower);
     void fill(Status &status) const;
     void takeStatus(const Status &status, std::optional<TimePoint> provenAt);
     EventLoop &loop_;
--- a/src/presence/tests/tablerelaytest.h
+++ b/src/presence/tests/tablerelaytest.h
@@ -62,7 +62,7 @@
         tools.datagrams = vm.datagrams;
         vm.presence = Presence::start(std::move(tools));
         rows::WatchHandlers handlers;
-        handlers.onAll = [&vm](const rows::WholeTable &whole) {
+        handlers.onSnapshot = [&vm](const rows::TableSnapshot &whole) {
             vm.known.clear();
             take(vm, whole.rows);
         };
@@ -71,7 +71,7 @@
         };
         handlers.onConfirmed = [](TimePoint) {
         };
-        handlers.onReachable = [](bool, rows::StoreFailure) {
+        handlers.onReachabilityChanged = [](bool, rows::StoreFailure) {
         };
         vm.watch = rows::RowWatch::start({loop_.get(), vm.store, log_}, "t", std::chrono::milliseconds(800), std::move(handlers));
         vm.relay = TableRelay::create(*loop_, vm.presence);
--- a/src/presence/toldchanges.h
+++ b/src/presence/toldchanges.h
@@ -18,6 +18,6 @@
 
 /// What a VM is to be told that knows all changes up to @p has. Empty if @p news does not hold all that came after, or if
 /// they are too large for a datagram.
-std::optional<ToldChanges> changesAfter(const rows::TableNews &news, rows::StoreVersion has);
+std::optional<ToldChanges> changesAfter(const rows::TableDelta &news, rows::StoreVersion has);
 
 } // namespace cardamomlift::presence
--- a/src/rollout/internal/rolloutkeeper.cpp
+++ b/src/rollout/internal/rolloutkeeper.cpp
@@ -302,7 +302,7 @@
     }
 }
 
-void RolloutKeeper::takeAllRecords(const rows::WholeTable &whole)
+void RolloutKeeper::takeAllRecords(const rows::TableSnapshot &whole)
 {
     takeRecords(whole.rows);
     std::set<std::string_view> listed;
--- a/src/rollout/rolloutkeeper.h
+++ b/src/rollout/rolloutkeeper.h
@@ -59,7 +59,7 @@
     /// Rows of the table of records.
     void takeRecords(const std::vector<rows::Row> &rows);
     /// The table holds no others. After a restore of the store the records that were known stay, where they are further.
-    void takeAllRecords(const rows::WholeTable &whole);
+    void takeAllRecords(const rows::TableSnapshot &whole);
     /// Called when the traffic of a service begins to move: others stop at @p stopAt, and what still runs there must go on
     /// elsewhere before that.
     void onMoving(std::function<void(const Record &record, TimePoint stopAt)> handler);
--- a/src/rollout/rolloutmodule.cpp
+++ b/src/rollout/rolloutmodule.cpp
@@ -59,7 +59,7 @@
         presence_->onStatus([keeper = keeper_](const presence::Status &status, std::optional<TimePoint>) { keeper->takeStatus(status); });
         loop_->every(TickPeriod, [this] {
             keeper_->tick();
-            watch_->setWait(keeper_->isAnyUnderWay() ? WaitInRollout : UsualWait);
+            watch_->setPollWait(keeper_->isAnyUnderWay() ? WaitInRollout : UsualWait);
         });
         return success();
     }
@@ -105,7 +105,7 @@
     void watchRecords(Context &context)
     {
         rows::WatchHandlers handlers;
-        handlers.onAll = [this](const rows::WholeTable &whole) {
+        handlers.onSnapshot = [this](const rows::TableSnapshot &whole) {
             keeper_->takeAllRecords(whole);
         };
         handlers.onChanges = [this](const std::vector<rows::Row> &rows) {
@@ -113,7 +113,7 @@
         };
         handlers.onConfirmed = [](TimePoint) {
         };
-        handlers.onReachable = [](bool, rows::StoreFailure) {
+        handlers.onReachabilityChanged = [](bool, rows::StoreFailure) {
         };
         watch_ = rows::RowWatch::start({loop_, context.get<rows::RowStore>(), context.get<eventlog::EventLog>()}, RecordsTable, UsualWait, std::move(handlers));
         context.get<presence::TableRelay>()->add(watch_, AskAfter);
--- a/src/rollout/tests/rolloutjudge_test.cpp
+++ b/src/rollout/tests/rolloutjudge_test.cpp
@@ -88,7 +88,7 @@
     void watchRecords(JudgingVm &vm)
     {
         rows::WatchHandlers handlers;
-        handlers.onAll = [keeper = vm.keeper](const rows::WholeTable &whole) {
+        handlers.onSnapshot = [keeper = vm.keeper](const rows::TableSnapshot &whole) {
             keeper->takeAllRecords(whole);
         };
         handlers.onChanges = [keeper = vm.keeper](const std::vector<rows::Row> &rows) {
@@ -96,7 +96,7 @@
         };
         handlers.onConfirmed = [](TimePoint) {
         };
-        handlers.onReachable = [](bool, rows::StoreFailure) {
+        handlers.onReachabilityChanged = [](bool, rows::StoreFailure) {
         };
         vm.watch = rows::RowWatch::start({loop_.get(), vm.vm.store, log_}, RecordsTable, milliseconds(800), std::move(handlers));
     }
--- a/src/rollout/tests/rolloutkeeper_test.cpp
+++ b/src/rollout/tests/rolloutkeeper_test.cpp
@@ -103,7 +103,7 @@
     /// The store was restored from a copy with these rows in the table of records.
     void restoreRecords(const std::vector<rows::Row> &rows)
     {
-        rows::WholeTable whole;
+        rows::TableSnapshot whole;
         whole.rows = rows;
         whole.version = {2, 180};
         whole.reason = rows::ReadReason::StoreRestored;
--- a/src/rows/internal/memoryrowstore.cpp
+++ b/src/rows/internal/memoryrowstore.cpp
@@ -130,30 +130,30 @@
     return std::shared_ptr<MemoryRowStore>(new MemoryRowStore(loop, std::move(rows)));
 }
 
-ReadResult MemoryRowStore::failed(StoreFailure failure, TimePoint askedAt) const
+ReadResult MemoryRowStore::failed(StoreFailure failure, TimePoint sentAt) const
 {
     ReadResult result;
     result.failure = failure;
-    result.askedAt = askedAt;
+    result.sentAt = sentAt;
     return result;
 }
 
 void MemoryRowStore::read(std::string table, std::string from, ReadHandler handler)
 {
     calls++;
-    const TimePoint askedAt = loop_.now();
+    const TimePoint sentAt = loop_.now();
     if (faults.silent) {
         loop_.after(
-            AnswerTimeout, [self = shared_from_this(), askedAt, handler = std::move(handler)] { handler(self->failed(StoreFailure::NoAnswer, askedAt)); });
+            AnswerTimeout, [self = shared_from_this(), sentAt, handler = std::move(handler)] { handler(self->failed(StoreFailure::NoAnswer, sentAt)); });
         return;
     }
-    loop_.post([self = shared_from_this(), table = std::move(table), from = std::move(from), askedAt, handler = std::move(handler)] {
+    loop_.post([self = shared_from_this(), table = std::move(table), from = std::move(from), sentAt, handler = std::move(handler)] {
         if (self->faults.down) {
-            handler(self->failed(StoreFailure::Refused, askedAt));
+            handler(self->failed(StoreFailure::Refused, sentAt));
             return;
         }
         ReadResult result;
-        result.askedAt = askedAt;
+        result.sentAt = sentAt;
         self->eras().note(self->rows_->version().era);
         result.page = self->rows_->read(table, from, self->pageSize);
         result.page.storeTime = self->loop_.now().time_since_epoch();
@@ -164,31 +164,30 @@
 void MemoryRowStore::changes(std::string table, StoreVersion version, Duration wait, ReadHandler handler)
 {
     calls++;
-    const TimePoint askedAt = loop_.now();
+    const TimePoint sentAt = loop_.now();
     if (faults.silent) {
-        loop_.after(wait + AnswerTimeout,
-            [self = shared_from_this(), askedAt, handler = std::move(handler)] { handler(self->failed(StoreFailure::NoAnswer, askedAt)); });
+        loop_.after(
+            wait + AnswerTimeout, [self = shared_from_this(), sentAt, handler = std::move(handler)] { handler(self->failed(StoreFailure::NoAnswer, sentAt)); });
         return;
     }
-    loop_.post([self = shared_from_this(), table = std::move(table), version, askedAt, end = askedAt + wait, handler = std::move(handler)] {
-        self->pollChanges(table, version, askedAt, end, handler);
+    loop_.post([self = shared_from_this(), table = std::move(table), version, sentAt, end = sentAt + wait, handler = std::move(handler)] {
+        self->pollChanges(table, version, sentAt, end, handler);
     });
 }
 
-void MemoryRowStore::pollChanges(const std::string &table, StoreVersion version, TimePoint askedAt, TimePoint end, const ReadHandler &handler)
+void MemoryRowStore::pollChanges(const std::string &table, StoreVersion version, TimePoint sentAt, TimePoint end, const ReadHandler &handler)
 {
     if (faults.down) {
-        handler(failed(StoreFailure::Refused, askedAt));
+        handler(failed(StoreFailure::Refused, sentAt));
         return;
     }
     eras().note(rows_->version().era);
     auto [failure, page] = rows_->changes(table, version);
     if (failure == StoreFailure::None && page.rows.empty() && loop_.now() < end) {
-        loop_.after(
-            PollPeriod, [self = shared_from_this(), table, version, askedAt, end, handler] { self->pollChanges(table, version, askedAt, end, handler); });
+        loop_.after(PollPeriod, [self = shared_from_this(), table, version, sentAt, end, handler] { self->pollChanges(table, version, sentAt, end, handler); });
         return;
     }
-    ReadResult result = failed(failure, askedAt);
+    ReadResult result = failed(failure, sentAt);
     result.page = firstOf(std::move(page), pageSize);
     result.page.storeTime = loop_.now().time_since_epoch();
     handler(result);
--- a/src/rows/internal/rowwatch.cpp
+++ b/src/rows/internal/rowwatch.cpp
@@ -74,7 +74,7 @@
     }
     backoff_ = Duration(0);
     if (collected_.empty()) {
-        collectSince_ = result.askedAt;
+        collectSince_ = result.sentAt;
         collectVersion_ = result.page.version;
     }
     if (result.page.version.era != collectVersion_.era) {
@@ -93,7 +93,7 @@
 
 void RowWatch::takeAll()
 {
-    WholeTable whole;
+    TableSnapshot whole;
     whole.rows = std::exchange(collected_, {});
     // Pages are of different moments: what changed between them comes again by the feed from the first page's version.
     whole.version = collectVersion_;
@@ -109,10 +109,10 @@
     isReadForDivergence_ = false;
     setReachable(true, StoreFailure::None);
     logReading(whole);
-    handlers_.onAll(whole);
+    handlers_.onSnapshot(whole);
     confirm(collectSince_);
-    if (whole.reason == ReadReason::StoreRestored && onNews_) {
-        onNews_();
+    if (whole.reason == ReadReason::StoreRestored && onStoreChanges_) {
+        onStoreChanges_();
     }
     askIfMay();
 }
@@ -142,7 +142,7 @@
     readAll({});
 }
 
-void RowWatch::logReading(const WholeTable &whole) const
+void RowWatch::logReading(const TableSnapshot &whole) const
 {
     tools_.log->write(eventlog::Event::TableRead,
         {{eventlog::Attribute::Table, table_},
@@ -206,63 +206,63 @@
     }
 }
 
-std::optional<TableNews> RowWatch::news()
+std::optional<TableDelta> RowWatch::delta()
 {
     forgetOld();
     if (!isRead_ || !confirmedAt_) {
         return std::nullopt;
     }
-    TableNews news;
-    news.version = version_;
-    news.since = {version_.era, recentSince_};
-    news.changedAt = changedAt_;
-    news.digest = digest_.at(version_);
-    news.age = tools_.loop->now() - *confirmedAt_;
+    TableDelta delta;
+    delta.version = version_;
+    delta.since = {version_.era, recentSince_};
+    delta.changedAt = changedAt_;
+    delta.digest = digest_.at(version_);
+    delta.age = tools_.loop->now() - *confirmedAt_;
     for (const Recent &recent : recent_) {
-        news.changes.push_back(recent.row);
+        delta.changes.push_back(recent.row);
     }
-    return news;
+    return delta;
 }
 
-bool RowWatch::isGap(const TableNews &news) const
+bool RowWatch::hasGap(const TableDelta &delta) const
 {
-    return news.version > version_ && news.since > version_;
+    return delta.version > version_ && delta.since > version_;
 }
 
-void RowWatch::offer(const TableNews &news, TimePoint provenAt)
+void RowWatch::applyDelta(const TableDelta &delta, TimePoint provenAt)
 {
-    if (!isRead_ || stopped_ || news.version.era < version_.era) {
+    if (!isRead_ || stopped_ || delta.version.era < version_.era) {
         return;
     }
-    if (news.version.era > version_.era) {
+    if (delta.version.era > version_.era) {
         readAnew();
         return;
     }
-    if (isGap(news)) {
+    if (hasGap(delta)) {
         behind_ = true;
         askIfMay();
         return;
     }
-    if (news.version > version_) {
+    if (delta.version > version_) {
         std::vector<Row> missed;
-        std::copy_if(news.changes.begin(), news.changes.end(), std::back_inserter(missed), [this](const Row &row) { return row.version > version_; });
+        std::copy_if(delta.changes.begin(), delta.changes.end(), std::back_inserter(missed), [this](const Row &row) { return row.version > version_; });
         remember(missed);
-        version_ = news.version;
+        version_ = delta.version;
         if (!missed.empty()) {
             handlers_.onChanges(missed);
         }
     }
-    if (isDiverged(news)) {
+    if (isDiverged(delta)) {
         onDiverged();
         return;
     }
-    confirm(provenAt - news.age);
+    confirm(provenAt - delta.age);
 }
 
-bool RowWatch::isDiverged(const TableNews &news) const
+bool RowWatch::isDiverged(const TableDelta &delta) const
 {
     const auto own = digest_.at(version_);
-    return news.version == version_ && news.digest && own && *news.digest != *own;
+    return delta.version == version_ && delta.digest && own && *delta.digest != *own;
 }
 
 // Which of the two is wrong can't be told, so nothing is confirmed; the store knows.
@@ -277,17 +277,17 @@
     readAnew();
 }
 
-void RowWatch::setGate(std::function<bool()> mayAsk)
+void RowWatch::setPollCondition(std::function<bool()> mayAsk)
 {
     mayAsk_ = std::move(mayAsk);
 }
 
-void RowWatch::onNews(std::function<void()> handler)
+void RowWatch::onStoreChanges(std::function<void()> handler)
 {
-    onNews_ = std::move(handler);
+    onStoreChanges_ = std::move(handler);
 }
 
-void RowWatch::setWait(Duration wait)
+void RowWatch::setPollWait(Duration wait)
 {
     wait_ = wait;
 }
@@ -307,7 +307,7 @@
     return confirmedAt_;
 }
 
-std::optional<TimePoint> RowWatch::lostUntil() const
+std::optional<TimePoint> RowWatch::lastUnreachableAt() const
 {
     return reachable_ ? regainedAt_ : std::optional(tools_.loop->now());
 }
@@ -353,8 +353,8 @@
         askIfMay();
         return;
     }
-    confirm(result.askedAt);
-    const Duration since = tools_.loop->now() - result.askedAt;
+    confirm(result.sentAt);
+    const Duration since = tools_.loop->now() - result.sentAt;
     if (hasChanges && since < PauseBetweenChanges) {
         askLater(PauseBetweenChanges - since);
         return;
@@ -373,8 +373,8 @@
         return;
     }
     handlers_.onChanges(missed);
-    if (onNews_) {
-        onNews_();
+    if (onStoreChanges_) {
+        onStoreChanges_();
     }
 }
 
@@ -401,7 +401,7 @@
     if (reachable) {
         regainedAt_ = tools_.loop->now();
     }
-    handlers_.onReachable(reachable, failure);
+    handlers_.onReachabilityChanged(reachable, failure);
 }
 
 void RowWatch::readAllLater()
--- a/src/rows/memoryrowstore.h
+++ b/src/rows/memoryrowstore.h
@@ -63,8 +63,8 @@
 
 private:
     MemoryRowStore(EventLoop &loop, std::shared_ptr<MemoryRows> rows);
-    void pollChanges(const std::string &table, StoreVersion version, TimePoint askedAt, TimePoint end, const ReadHandler &handler);
-    ReadResult failed(StoreFailure failure, TimePoint askedAt) const;
+    void pollChanges(const std::string &table, StoreVersion version, TimePoint sentAt, TimePoint end, const ReadHandler &handler);
+    ReadResult failed(StoreFailure failure, TimePoint sentAt) const;
     EventLoop &loop_;
     std::shared_ptr<MemoryRows> rows_;
 };
--- a/src/rows/rowtypes.h
+++ b/src/rows/rowtypes.h
@@ -55,7 +55,7 @@
 std::string_view readReasonName(ReadReason reason);
 
 /// All rows of a table.
-struct WholeTable {
+struct TableSnapshot {
     std::vector<Row> rows;
     StoreVersion version; ///< Changes after it may be missing.
     ReadReason reason = ReadReason::First;
@@ -76,11 +76,11 @@
 struct ReadResult {
     StoreFailure failure = StoreFailure::None;
     RowPage page;
-    TimePoint askedAt; ///< When the call was sent.
+    TimePoint sentAt; ///< When the call was sent.
 };
 
 /// What one VM knows of a table, for another that has not asked the store itself.
-struct TableNews {
+struct TableDelta {
     StoreVersion version; ///< All changes up to it are known to the sender.
     StoreVersion since; ///< @c changes holds all that came after this version; of the same era.
     std::vector<Row> changes; ///< In order; the newest ones only.
--- a/src/rows/rowwatch.h
+++ b/src/rows/rowwatch.h
@@ -22,11 +22,11 @@
 
 /// What a watch tells its owner.
 struct WatchHandlers {
-    std::function<void(const WholeTable &whole)> onAll; ///< The whole table was read.
+    std::function<void(const TableSnapshot &whole)> onSnapshot; ///< The whole table was read.
     std::function<void(const std::vector<Row> &rows)> onChanges;
-    /// All that was written before @p askedAt has been told.
-    std::function<void(TimePoint askedAt)> onConfirmed;
-    std::function<void(bool reachable, StoreFailure failure)> onReachable; ///< Called when it changes.
+    /// All that was written before @p sentAt has been told.
+    std::function<void(TimePoint sentAt)> onConfirmed;
+    std::function<void(bool reachable, StoreFailure failure)> onReachabilityChanged; ///< Called when it changes.
 };
 
 /// Follows a table: reads it whole, then by its feed of changes, for as long as it lives.
@@ -39,25 +39,25 @@
     void stop();
 
     /// The store is asked only while @p mayAsk says so: other VMs may tell what is new. Without a gate it always is.
-    void setGate(std::function<bool()> mayAsk);
-    /// Whether @p news may lack changes that this watch does not know either.
-    bool isGap(const TableNews &news) const;
+    void setPollCondition(std::function<bool()> mayAsk);
+    /// Whether @p delta may lack changes that this watch does not know either.
+    bool hasGap(const TableDelta &delta) const;
     /// Another VM's knowledge, which was complete at @p provenAt less its age. With a gap the store is asked at once; where the
     /// rows differ at the same version nothing is confirmed, and the table is read anew.
-    void offer(const TableNews &news, TimePoint provenAt);
+    void applyDelta(const TableDelta &delta, TimePoint provenAt);
     /// How long the store may hold the questions that are asked from now on.
-    void setWait(Duration wait);
+    void setPollWait(Duration wait);
     /// @p handler is called after the store itself has told changes.
-    void onNews(std::function<void()> handler);
+    void onStoreChanges(std::function<void()> handler);
     /// What this VM knows, for others; empty before the first reading.
-    std::optional<TableNews> news();
+    std::optional<TableDelta> delta();
     const std::string &table() const;
     /// All changes up to it are known, unless the table is being read anew.
     StoreVersion version() const;
     /// Since when nothing can have changed unnoticed; empty before the first reading.
     std::optional<TimePoint> confirmedAt() const;
     /// When the store was regained last; now while it is lost; empty if it was never lost.
-    std::optional<TimePoint> lostUntil() const;
+    std::optional<TimePoint> lastUnreachableAt() const;
 
 private:
     RowWatch(WatchTools tools, std::string table, Duration wait, WatchHandlers handlers);
@@ -66,7 +66,7 @@
     void onPage(const ReadResult &result);
     void takeAll();
     ReadReason readReason() const;
-    void logReading(const WholeTable &whole) const;
+    void logReading(const TableSnapshot &whole) const;
     void onRestored();
     void ask();
     void onChanges(const ReadResult &result);
@@ -74,8 +74,8 @@
     void onFailure(StoreFailure failure);
     void askIfMay();
     void confirm(TimePoint at);
-    /// Whether the sender of @p news, which is of the version known here, knows other rows.
-    bool isDiverged(const TableNews &news) const;
+    /// Whether the sender of @p delta, which is of the version known here, knows other rows.
+    bool isDiverged(const TableDelta &delta) const;
     void onDiverged();
     void remember(const std::vector<Row> &rows);
     void forgetOld();
@@ -104,7 +104,7 @@
         TimePoint at;
     };
     std::function<bool()> mayAsk_;
-    std::function<void()> onNews_;
+    std::function<void()> onStoreChanges_;
     std::deque<Recent> recent_; ///< Oldest first.
     std::size_t recentBytes_ = 0;
     std::uint64_t recentSince_ = 0; ///< recent_ holds all changes after this version's number.
--- a/src/rows/tests/rowwatch_test.cpp
+++ b/src/rows/tests/rowwatch_test.cpp
@@ -23,7 +23,7 @@
     void start()
     {
         WatchHandlers handlers;
-        handlers.onAll = [this](const WholeTable &whole) {
+        handlers.onSnapshot = [this](const TableSnapshot &whole) {
             allCalls_++;
             known_.clear();
             take(whole.rows);
@@ -31,10 +31,10 @@
         handlers.onChanges = [this](const std::vector<Row> &rows) {
             take(rows);
         };
-        handlers.onConfirmed = [this](TimePoint askedAt) {
-            confirmedAt_ = askedAt;
+        handlers.onConfirmed = [this](TimePoint sentAt) {
+            confirmedAt_ = sentAt;
         };
-        handlers.onReachable = [this](bool reachable, StoreFailure) {
+        handlers.onReachabilityChanged = [this](bool reachable, StoreFailure) {
             reachable_ = reachable;
         };
         watch_ = RowWatch::start({loop_.get(), store_, log_}, "t", milliseconds(1500), std::move(handlers));
@@ -161,7 +161,7 @@
     EXPECT_GT(confirmedAt_, changedAt);
 }
 
-// Guards against a VM that goes on with a row that has changed, because news left the change out and were believed.
+// Guards against a VM that goes on with a row that has changed, because delta left the change out and were believed.
 TEST_F(RowWatchTest, ReadsAnewWhenAnotherVmKnowsOtherRowsAtTheSameVersion)
 {
     put("a", "1");
@@ -170,33 +170,33 @@
     const auto other = RowWatch::start({loop_.get(), MemoryRowStore::create(*loop_, rows_), log_},
         "t",
         milliseconds(1500),
-        {[](const WholeTable &) {},
+        {[](const TableSnapshot &) {},
             [](const std::vector<Row> &) {},
             [](TimePoint) {},
             [](bool, StoreFailure) {
             }});
     pass(milliseconds(100));
     // What this watch knows comes from others alone.
-    watch_->setGate([] { return false; });
+    watch_->setPollCondition([] { return false; });
     pass(milliseconds(3000));
     put("a", "2");
     pass(milliseconds(1000));
-    TableNews news = *other->news();
-    EXPECT_EQ(news.changes.size(), 1U);
-    news.changes.clear();
+    TableDelta delta = *other->delta();
+    EXPECT_EQ(delta.changes.size(), 1U);
+    delta.changes.clear();
     const auto before = confirmedAt_;
-    watch_->offer(news, loop_->now());
+    watch_->applyDelta(delta, loop_->now());
     EXPECT_EQ(confirmedAt_, before);
     pass(milliseconds(200));
     EXPECT_EQ(known_["a"], "2");
     EXPECT_EQ(allCalls_, 2);
-    watch_->offer(*other->news(), loop_->now());
+    watch_->applyDelta(*other->delta(), loop_->now());
     EXPECT_EQ(allCalls_, 2) << "both know the same";
     // Where this watch is the one that is right the table is not read again and again.
-    news = *other->news();
-    *news.digest += 1;
+    delta = *other->delta();
+    *delta.digest += 1;
     for (int i = 0; i < 10; i++) {
-        watch_->offer(news, loop_->now());
+        watch_->applyDelta(delta, loop_->now());
         pass(milliseconds(100));
     }
     EXPECT_EQ(allCalls_, 2);
@@ -262,19 +262,19 @@
     put("a", "1");
     start();
     bool mayAsk = true;
-    watch_->setGate([&mayAsk] { return mayAsk; });
+    watch_->setPollCondition([&mayAsk] { return mayAsk; });
     pass(milliseconds(2000));
     mayAsk = false;
     pass(milliseconds(2000));
     const auto calls = store_->calls;
     const auto version = watch_->version();
     const auto confirmed = watch_->confirmedAt();
-    TableNews news;
-    news.version = {version.era, version.number + 10};
-    news.since = news.version;
-    news.changedAt = version.number;
-    EXPECT_TRUE(watch_->isGap(news)) << "whatever the sender thinks of changes between";
-    watch_->offer(news, loop_->now());
+    TableDelta delta;
+    delta.version = {version.era, version.number + 10};
+    delta.since = delta.version;
+    delta.changedAt = version.number;
+    EXPECT_TRUE(watch_->hasGap(delta)) << "whatever the sender thinks of changes between";
+    watch_->applyDelta(delta, loop_->now());
     EXPECT_EQ(watch_->version(), version);
     EXPECT_EQ(watch_->confirmedAt(), confirmed);
     pass(milliseconds(300));
