--- a/src/duties/dutiesmodule.cpp
+++ b/src/duties/dutiesmodule.cpp
@@ -64,7 +64,7 @@
         tools.lease = lease;
         tools.api = api;
         tools.usage = context.get<usage::UsageCounter>();
-        tools.manifests = context.get<manifest::ManifestKeeper>();
+        tools.manifests = context.get<manifest::ManifestCache>();
         tools.time = context.get<presence::TrueTime>();
         tools.log = context.get<eventlog::EventLog>();
         context.set(UsageReporter::start(std::move(tools)));
@@ -77,7 +77,7 @@
         tools.lease = lease;
         tools.api = api;
         tools.directory = context.get<directory::Directory>();
-        tools.manifests = context.get<manifest::ManifestKeeper>();
+        tools.manifests = context.get<manifest::ManifestCache>();
         tools.log = context.get<eventlog::EventLog>();
         tools.metrics = context.get<metrics::Metrics>();
         tools.presence = context.get<presence::Presence>();
--- a/src/duties/internal/orderkeeper.cpp
+++ b/src/duties/internal/orderkeeper.cpp
@@ -137,7 +137,7 @@
         if (isInRollout && order.wanted <= there) {
             continue;
         }
-        order.wanted = std::min(service.scaling->most, order.wanted + (order.isReclaimable ? zone->unprovedReclaimable : zone->unproved));
+        order.wanted = std::min(service.scaling->maxPerZone, order.wanted + (order.isReclaimable ? zone->unprovedReclaimable : zone->unproved));
         if (isListShort && !(order.isReclaimable && order.wanted > there)) {
             continue;
         }
--- a/src/duties/internal/orderplan.cpp
+++ b/src/duties/internal/orderplan.cpp
@@ -24,7 +24,7 @@
         byPrice.push_back(&zone);
         reclaimable += zone.reclaimable;
         worstLoss = std::max(worstLoss, zone.reclaimable);
-        orders.push_back({service, zone.zone, true, std::min(goal.reclaimablePerZone, scaling.most)});
+        orders.push_back({service, zone.zone, true, std::min(goal.reclaimablePerZone, scaling.maxPerZone)});
     }
     std::stable_sort(
         byPrice.begin(), byPrice.end(), [&](const ZoneServers *a, const ZoneServers *b) { return priceOf(scaling, a->zone) < priceOf(scaling, b->zone); });
@@ -35,7 +35,7 @@
     while (missing > 0 && placed) {
         placed = false;
         for (std::size_t i = 0; i < byPrice.size() && missing > 0; i++) {
-            if (ordinary[i] + byPrice[i]->reclaimable + byPrice[i]->leaving >= scaling.most) {
+            if (ordinary[i] + byPrice[i]->reclaimable + byPrice[i]->leaving >= scaling.maxPerZone) {
                 continue;
             }
             ordinary[i]++;
@@ -44,8 +44,8 @@
         }
     }
     for (std::size_t i = 0; i < byPrice.size(); i++) {
-        const bool isBelowLeast = byPrice[i]->reclaimable + ordinary[i] < scaling.least && goal.reclaimablePerZone == 0;
-        orders.push_back({service, byPrice[i]->zone, false, isBelowLeast ? scaling.least : ordinary[i]});
+        const bool isBelowLeast = byPrice[i]->reclaimable + ordinary[i] < scaling.minPerZone && goal.reclaimablePerZone == 0;
+        orders.push_back({service, byPrice[i]->zone, false, isBelowLeast ? scaling.minPerZone : ordinary[i]});
     }
     return orders;
 }
--- a/src/duties/internal/servergoal.cpp
+++ b/src/duties/internal/servergoal.cpp
@@ -97,7 +97,7 @@
     goal.servers = memory.servers;
     goal.serversAfterReclaim = static_cast<int>(std::ceil(memory.servers * (present.isStockOut ? KeptWithoutStock : KeptAfterReclaim)));
     const int reclaimable = static_cast<int>(std::lround(memory.longTerm * ReclaimableReserve / places));
-    goal.reclaimablePerZone = std::clamp(reclaimable, std::min(LeastReclaimable, scaling.most), std::max(1, scaling.most));
+    goal.reclaimablePerZone = std::clamp(reclaimable, std::min(LeastReclaimable, scaling.maxPerZone), std::max(1, scaling.maxPerZone));
     return goal;
 }
 
--- a/src/duties/orderkeeper.h
+++ b/src/duties/orderkeeper.h
@@ -5,7 +5,7 @@
 #include "duties/orderplan.h"
 #include "duties/servergoal.h"
 #include "forwarding/versiongate.h"
-#include "manifest/manifestkeeper.h"
+#include "manifest/manifestcache.h"
 #include "metrics/metrics.h"
 
 #include <functional>
@@ -22,7 +22,7 @@
     std::shared_ptr<LeaderLease> lease;
     std::shared_ptr<LeaderApi> api;
     std::shared_ptr<directory::Directory> directory;
-    std::shared_ptr<manifest::ManifestKeeper> manifests;
+    std::shared_ptr<manifest::ManifestCache> manifests;
     std::shared_ptr<eventlog::EventLog> log;
     std::shared_ptr<metrics::Metrics> metrics;
     std::shared_ptr<presence::Presence> presence;
--- a/src/duties/tests/dutiestest.h
+++ b/src/duties/tests/dutiestest.h
@@ -91,12 +91,12 @@
     {
         loop_ = std::move(EventLoop::create(clock_).value());
         log_ = eventlog::EventLog::create(clock_, "test", [](std::string_view) { return true; });
-        manifests_ = manifest::ManifestKeeper::create();
+        manifests_ = manifest::ManifestCache::create();
         manifest::Manifest manifest;
         manifest.version = 1;
         manifest.customers.resize(1);
         manifest.customers[0].name = "customer";
-        manifests_->offer(std::move(manifest));
+        manifests_->update(std::move(manifest));
     }
 
     Vm start(const std::string &instance)
@@ -153,7 +153,7 @@
     ManualClock clock_;
     std::unique_ptr<EventLoop> loop_;
     std::shared_ptr<eventlog::EventLog> log_;
-    std::shared_ptr<manifest::ManifestKeeper> manifests_;
+    std::shared_ptr<manifest::ManifestCache> manifests_;
     std::shared_ptr<rows::MemoryRows> rows_ = std::make_shared<rows::MemoryRows>();
     PlatformRecord record_;
     std::uint64_t incarnations_ = 0;
--- a/src/duties/tests/orders_test.cpp
+++ b/src/duties/tests/orders_test.cpp
@@ -10,8 +10,8 @@
 manifest::Scaling scaling()
 {
     manifest::Scaling result;
-    result.least = 1;
-    result.most = 6;
+    result.minPerZone = 1;
+    result.maxPerZone = 6;
     result.startup = seconds(4);
     result.reclaimablePrice = 0.18;
     result.zonePrices = {{"a", 1.0}, {"b", 0.8}, {"c", 1.25}, {"d", 0.9}};
@@ -141,8 +141,8 @@
         manifest.services[0].name = "models";
         manifest.services[0].engine = manifest::EngineProfile{64, 500'000, true, true};
         manifest.services[0].scaling = scaling();
-        manifest.services[0].scaling->most = 30;
-        manifests_->offer(std::move(manifest));
+        manifest.services[0].scaling->maxPerZone = 30;
+        manifests_->update(std::move(manifest));
     }
 
     std::shared_ptr<OrderKeeper> startOrders(double promptTokensPerSecond)
--- a/src/duties/usagereporter.h
+++ b/src/duties/usagereporter.h
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "duties/leaderlease.h"
-#include "manifest/manifestkeeper.h"
+#include "manifest/manifestcache.h"
 #include "usage/usagecounter.h"
 
 #include <memory>
@@ -14,7 +14,7 @@
     std::shared_ptr<LeaderLease> lease;
     std::shared_ptr<LeaderApi> api;
     std::shared_ptr<usage::UsageCounter> usage;
-    std::shared_ptr<manifest::ManifestKeeper> manifests;
+    std::shared_ptr<manifest::ManifestCache> manifests;
     std::shared_ptr<presence::TrueTime> time;
     std::shared_ptr<eventlog::EventLog> log;
 };
--- a/src/forwarding/forwarder.h
+++ b/src/forwarding/forwarder.h
@@ -13,7 +13,7 @@
 #include "forwarding/wireformat.h"
 #include "http1/callerserver.h"
 #include "kernel/eventloop.h"
-#include "manifest/manifestkeeper.h"
+#include "manifest/manifestcache.h"
 #include "metrics/metrics.h"
 #include "outliers/outlierdetector.h"
 #include "prefixindex/prefixindex.h"
@@ -30,7 +30,7 @@
 /// What a forwarder works with. All but the hooks must be set.
 struct ForwarderTools {
     EventLoop *loop = nullptr;
-    std::shared_ptr<manifest::ManifestKeeper> manifests;
+    std::shared_ptr<manifest::ManifestCache> manifests;
     std::shared_ptr<directory::Directory> directory;
     std::shared_ptr<ServerPool> pool;
     std::shared_ptr<eventlog::EventLog> log;
--- a/src/forwarding/forwardingmodule.cpp
+++ b/src/forwarding/forwardingmodule.cpp
@@ -51,7 +51,7 @@
         context.set(pool);
         ForwarderTools tools;
         tools.loop = context.get<Runtime>()->loop;
-        tools.manifests = context.get<manifest::ManifestKeeper>();
+        tools.manifests = context.get<manifest::ManifestCache>();
         tools.directory = context.get<directory::Directory>();
         tools.pool = pool;
         tools.log = context.get<eventlog::EventLog>();
--- a/src/forwarding/internal/forwardedrequest.cpp
+++ b/src/forwarding/internal/forwardedrequest.cpp
@@ -100,7 +100,7 @@
     if (manifest_->manifest().customers.empty()) {
         return true;
     }
-    customer_ = request_.key.empty() ? nullptr : manifest_->customerOfKey(request_.key);
+    customer_ = request_.key.empty() ? nullptr : manifest_->customerByKey(request_.key);
     if (route_->isPublic) {
         return true;
     }
@@ -125,7 +125,7 @@
     if (!customer_ || !customer_->allowance.countsTokens) {
         return 1;
     }
-    return request_.hasTokens ? request_.promptTokens + request_.outputTokens : customer_->allowance.plainTokens;
+    return request_.hasTokens ? request_.promptTokens + request_.outputTokens : customer_->allowance.defaultTokens;
 }
 
 bool ForwardedRequest::checkAllowance()
--- a/src/forwarding/internal/forwardedrequestmove.cpp
+++ b/src/forwarding/internal/forwardedrequestmove.cpp
@@ -42,7 +42,7 @@
         return false;
     }
     const manifest::Service *service = manifest_->service(service_);
-    return service && service->engine && service->engine->movesKv;
+    return service && service->engine && service->engine->canMigrateKv;
 }
 
 void ForwardedRequest::startMove()
--- a/src/forwarding/internal/forwardedrequestsilence.cpp
+++ b/src/forwarding/internal/forwardedrequestsilence.cpp
@@ -26,7 +26,7 @@
 Duration ForwardedRequest::silenceLimit() const
 {
     const bool waitsForFirst = !attempt_->hasFirstByte;
-    const Duration promised = waitsForFirst ? route_->latencyGoal * GoalsOfSilence : route_->pauseGoal * PausesOfSilence;
+    const Duration promised = waitsForFirst ? route_->latencyGoal * GoalsOfSilence : route_->eventGapGoal * PausesOfSilence;
     return promised.count() <= 0 ? UsualSilence : std::clamp(promised, LeastSilence, MostSilence);
 }
 
--- a/src/forwarding/routegateway.h
+++ b/src/forwarding/routegateway.h
@@ -3,7 +3,7 @@
 #include "eventlog/eventlog.h"
 #include "forwarding/forwarder.h"
 #include "http1/callerserver.h"
-#include "manifest/manifestkeeper.h"
+#include "manifest/manifestcache.h"
 #include "metrics/metrics.h"
 #include "settings/settingstypes.h"
 
@@ -21,7 +21,7 @@
     settings::RouteGatewaySettings settings;
     std::string zone;
     std::shared_ptr<Forwarder> forwarder;
-    std::shared_ptr<manifest::ManifestKeeper> manifests;
+    std::shared_ptr<manifest::ManifestCache> manifests;
     std::shared_ptr<directory::Directory> directory;
     std::shared_ptr<eventlog::EventLog> log;
     std::shared_ptr<metrics::Metrics> metrics;
--- a/src/forwarding/tests/forwarder_test.cpp
+++ b/src/forwarding/tests/forwarder_test.cpp
@@ -344,11 +344,11 @@
 
 TEST(KeyFreshness, KeyedServiceEndsWhenKnowledgeIsOld)
 {
-    const auto manifests = manifest::ManifestKeeper::create();
+    const auto manifests = manifest::ManifestCache::create();
     ManualClock clock;
     manifest::Manifest manifest;
     manifest.version = 1;
-    manifests->offer(std::move(manifest));
+    manifests->update(std::move(manifest));
     manifests->confirm(clock.now());
     const ForwardingSettings settings;
     clock.advance(settings.keysFreshFor);
--- a/src/forwarding/tests/forwardertest.h
+++ b/src/forwarding/tests/forwardertest.h
@@ -51,7 +51,7 @@
 protected:
     ForwarderTest()
     {
-        manifests_ = manifest::ManifestKeeper::create();
+        manifests_ = manifest::ManifestCache::create();
         directory_ = directory::Directory::create();
         pool_ = ServerPool::create(*loop_, directory_);
         log_ = eventlog::EventLog::create(clock_, "vm", [this](std::string_view line) {
@@ -165,7 +165,7 @@
         manifest.routes.back().timeout = milliseconds(150);
         for (manifest::Route &route : manifest.routes) {
             route.latencyGoal = LatencyGoal;
-            route.pauseGoal = LatencyGoal;
+            route.eventGapGoal = LatencyGoal;
         }
         manifest.services.resize(1);
         manifest.services[0].name = "service";
@@ -174,7 +174,7 @@
         manifest.customers[0].name = "customer";
         manifest.customers[0].keys = {"key"};
         manifest.customers[0].allowance.perSecond = 100;
-        manifests_->offer(std::move(manifest));
+        manifests_->update(std::move(manifest));
         manifests_->confirm(loop_->now());
     }
 
@@ -263,7 +263,7 @@
         return body;
     }
 
-    std::shared_ptr<manifest::ManifestKeeper> manifests_;
+    std::shared_ptr<manifest::ManifestCache> manifests_;
     std::shared_ptr<directory::Directory> directory_;
     std::shared_ptr<ServerPool> pool_;
     std::shared_ptr<eventlog::EventLog> log_;
--- a/src/manifest/internal/manifestcache.cpp
+++ b/src/manifest/internal/manifestcache.cpp
@@ -1,55 +1,55 @@
-#include "manifest/manifestkeeper.h"
+#include "manifest/manifestcache.h"
 
 #include <algorithm>
 
 namespace cardamomlift::manifest {
 
-std::shared_ptr<ManifestKeeper> ManifestKeeper::create()
+std::shared_ptr<ManifestCache> ManifestCache::create()
 {
-    return std::shared_ptr<ManifestKeeper>(new ManifestKeeper);
+    return std::shared_ptr<ManifestCache>(new ManifestCache);
 }
 
-ManifestPtr ManifestKeeper::current() const
+ManifestPtr ManifestCache::current() const
 {
     return current_;
 }
 
-OfferOutcome ManifestKeeper::offer(Manifest manifest)
+UpdateOutcome ManifestCache::update(Manifest manifest)
 {
     isNewestUnreadable_ = false;
     if (current_ && manifest.version == current_->manifest().version) {
-        return OfferOutcome::Known;
+        return UpdateOutcome::AlreadyActive;
     }
     if (current_ && manifest.version < current_->manifest().version) {
-        return OfferOutcome::Older;
+        return UpdateOutcome::Outdated;
     }
     current_ = ManifestIndex::create(std::move(manifest));
     for (const auto &handler : handlers_) {
         handler(current_);
     }
-    return OfferOutcome::InForce;
+    return UpdateOutcome::Activated;
 }
 
-void ManifestKeeper::confirm(TimePoint askedAt)
+void ManifestCache::confirm(TimePoint askedAt)
 {
     const std::uint64_t inForce = current_ ? current_->manifest().version : 0;
-    if (inForce < newestElsewhere_ || isNewestUnreadable_) {
+    if (inForce < newestPeerVersion_ || isNewestUnreadable_) {
         return;
     }
     confirmedAt_ = confirmedAt_ ? std::max(*confirmedAt_, askedAt) : askedAt;
 }
 
-void ManifestKeeper::noteUnreadable()
+void ManifestCache::noteUnreadable()
 {
     isNewestUnreadable_ = true;
 }
 
-void ManifestKeeper::noteElsewhere(std::uint64_t version)
+void ManifestCache::notePeerVersion(std::uint64_t version)
 {
-    newestElsewhere_ = std::max(newestElsewhere_, version);
+    newestPeerVersion_ = std::max(newestPeerVersion_, version);
 }
 
-std::optional<Duration> ManifestKeeper::age(TimePoint now) const
+std::optional<Duration> ManifestCache::age(TimePoint now) const
 {
     if (!confirmedAt_) {
         return std::nullopt;
@@ -57,13 +57,13 @@
     return now - *confirmedAt_;
 }
 
-bool ManifestKeeper::isFresh(TimePoint now, Duration bound) const
+bool ManifestCache::isFresh(TimePoint now, Duration bound) const
 {
     const auto known = age(now);
     return known && *known <= bound;
 }
 
-void ManifestKeeper::onChange(std::function<void(const ManifestPtr &manifest)> handler)
+void ManifestCache::onChange(std::function<void(const ManifestPtr &manifest)> handler)
 {
     handlers_.push_back(std::move(handler));
 }
--- a/src/manifest/internal/manifestindex.cpp
+++ b/src/manifest/internal/manifestindex.cpp
@@ -60,7 +60,7 @@
     return nullptr;
 }
 
-const Customer *ManifestIndex::customerOfKey(std::string_view key) const
+const Customer *ManifestIndex::customerByKey(std::string_view key) const
 {
     const auto found = customersByKey_.find(key);
     return found == customersByKey_.end() ? nullptr : found->second;
--- a/src/manifest/manifestcache.h
+++ b/src/manifest/manifestcache.h
@@ -9,28 +9,28 @@
 namespace cardamomlift::manifest {
 
 /// What becomes of a manifest that was offered.
-enum class OfferOutcome {
-    InForce,
-    Known, ///< The version in force already.
-    Older, ///< An older version than the one in force; ignored.
+enum class UpdateOutcome {
+    Activated,
+    AlreadyActive, ///< The version in force already.
+    Outdated, ///< An older version than the one in force; ignored.
 };
 
 /// The newest manifest that this process knows, and how fresh that knowledge is.
-class ManifestKeeper
+class ManifestCache
 {
 public:
-    static std::shared_ptr<ManifestKeeper> create();
+    static std::shared_ptr<ManifestCache> create();
 
     /// The manifest in force; null before the first.
     ManifestPtr current() const;
     /// Puts @p manifest in force unless a newer one is.
-    OfferOutcome offer(Manifest manifest);
+    UpdateOutcome update(Manifest manifest);
     /// The store has shown that at some time at or after @p askedAt no newer version than the one in force existed.
     /// NOTE The time at which the question was sent, not that of the answer: an answer may have waited on its way.
     void confirm(TimePoint askedAt);
     /// Another VM has @p version in force. While the one here is older nothing confirms it: the store may have been restored
     /// from a copy that lacks the newer one.
-    void noteElsewhere(std::uint64_t version);
+    void notePeerVersion(std::uint64_t version);
     /// The store holds a manifest that can't be read here. Until a readable one comes nothing confirms the one in force: a key
     /// may have been taken away.
     void noteUnreadable();
@@ -42,9 +42,9 @@
     void onChange(std::function<void(const ManifestPtr &manifest)> handler);
 
 private:
-    ManifestKeeper() = default;
+    ManifestCache() = default;
     ManifestPtr current_;
-    std::uint64_t newestElsewhere_ = 0;
+    std::uint64_t newestPeerVersion_ = 0;
     bool isNewestUnreadable_ = false;
     std::optional<TimePoint> confirmedAt_;
     std::vector<std::function<void(const ManifestPtr &)>> handlers_;
--- a/src/manifest/manifestindex.h
+++ b/src/manifest/manifestindex.h
@@ -19,7 +19,7 @@
     /// if there is none.
     const Route *route(std::string_view host, std::string_view target) const;
     /// The customer that holds @p key; null if none does.
-    const Customer *customerOfKey(std::string_view key) const;
+    const Customer *customerByKey(std::string_view key) const;
     const Service *service(std::string_view name) const;
 
 private:
--- a/src/manifest/manifestmodule.cpp
+++ b/src/manifest/manifestmodule.cpp
@@ -1,6 +1,6 @@
 #include "kernel/module.h"
 #include "kernel/runtime.h"
-#include "manifest/manifestkeeper.h"
+#include "manifest/manifestcache.h"
 #include "metrics/metrics.h"
 
 namespace cardamomlift::manifest {
@@ -8,9 +8,9 @@
 namespace {
 
 /// -1: nothing was ever confirmed.
-double ageSeconds(const ManifestKeeper &keeper, TimePoint now)
+double ageSeconds(const ManifestCache &cache, TimePoint now)
 {
-    const auto age = keeper.age(now);
+    const auto age = cache.age(now);
     return age ? std::chrono::duration<double>(*age).count() : -1;
 }
 
@@ -34,12 +34,12 @@
 
     Result<void> start(Context &context) override
     {
-        const auto keeper = ManifestKeeper::create();
+        const auto cache = ManifestCache::create();
         const auto metrics = context.get<metrics::Metrics>();
-        metrics->gauge("manifest_version", [keeper] { return keeper->current() ? static_cast<double>(keeper->current()->manifest().version) : 0.0; });
+        metrics->gauge("manifest_version", [cache] { return cache->current() ? static_cast<double>(cache->current()->manifest().version) : 0.0; });
         EventLoop *loop = context.get<Runtime>()->loop;
-        metrics->gauge("manifest_age_seconds", [keeper, loop] { return ageSeconds(*keeper, loop->now()); });
-        context.set(keeper);
+        metrics->gauge("manifest_age_seconds", [cache, loop] { return ageSeconds(*cache, loop->now()); });
+        context.set(cache);
         return success();
     }
 };
--- a/src/manifest/manifesttypes.h
+++ b/src/manifest/manifesttypes.h
@@ -33,7 +33,7 @@
     bool isPublic = false; ///< Needs no key.
     Duration timeout{0}; ///< The longest a caller is kept waiting.
     Duration latencyGoal{0};
-    Duration pauseGoal{0}; ///< The longest pause between events of an answer that is in time.
+    Duration eventGapGoal{0}; ///< The longest pause between events of an answer that is in time.
     int priority = 0; ///< 0 is the most urgent.
     int maxAttempts = 1; ///< Backend servers that one request may be sent to.
     std::vector<ServiceShare> shares;
@@ -43,14 +43,14 @@
 struct EngineProfile {
     int slots = 0; ///< Requests that run at once.
     std::int64_t kvCapacityTokens = 0;
-    bool movesKv = false; ///< A run's KV cache can be moved to another engine.
-    bool backsUpKv = false; ///< A run's KV cache can be copied while it grows.
+    bool canMigrateKv = false; ///< A run's KV cache can be moved to another engine.
+    bool canBackUpKv = false; ///< A run's KV cache can be copied while it grows.
 };
 
 /// Bounds and prices of the backend servers that may be ordered for a service. Both bounds hold in each failure domain.
 struct Scaling {
-    int least = 0;
-    int most = 0;
+    int minPerZone = 0;
+    int maxPerZone = 0;
     Duration startup{0}; ///< From the order to the first request.
     double reclaimablePrice = 1; ///< Of a reclaimable server, as a part of an ordinary one's.
     std::map<std::string, double> zonePrices; ///< By failure domain, for a second of an ordinary server.
@@ -69,7 +69,7 @@
     double perSecond = 0; ///< 0: no bound.
     double burst = 0;
     bool countsTokens = false; ///< In tokens; otherwise in requests.
-    std::int64_t plainTokens = 1; ///< What a request without a token count stands for.
+    std::int64_t defaultTokens = 1; ///< What a request without a token count stands for.
 };
 
 /// A customer with its keys.
--- a/src/manifest/tests/manifest_test.cpp
+++ b/src/manifest/tests/manifest_test.cpp
@@ -1,4 +1,4 @@
-#include "manifest/manifestkeeper.h"
+#include "manifest/manifestcache.h"
 
 #include <gtest/gtest.h>
 
@@ -55,74 +55,74 @@
     manifest.customers[1].name = "second";
     manifest.customers[1].keys = {"k3"};
     const auto index = ManifestIndex::create(std::move(manifest));
-    EXPECT_EQ(index->customerOfKey("k2")->name, "first");
-    EXPECT_EQ(index->customerOfKey("k3")->name, "second");
-    EXPECT_EQ(index->customerOfKey("k"), nullptr);
+    EXPECT_EQ(index->customerByKey("k2")->name, "first");
+    EXPECT_EQ(index->customerByKey("k3")->name, "second");
+    EXPECT_EQ(index->customerByKey("k"), nullptr);
 }
 
-TEST(ManifestKeeper, NeverGoesBackToAnOlderVersion)
+TEST(ManifestCache, NeverGoesBackToAnOlderVersion)
 {
-    const auto keeper = ManifestKeeper::create();
-    EXPECT_EQ(keeper->current(), nullptr);
-    EXPECT_EQ(keeper->offer(version(5)), OfferOutcome::InForce);
-    EXPECT_EQ(keeper->offer(version(4)), OfferOutcome::Older);
-    EXPECT_EQ(keeper->offer(version(5)), OfferOutcome::Known);
-    EXPECT_EQ(keeper->current()->manifest().version, 5U);
-    EXPECT_EQ(keeper->offer(version(9)), OfferOutcome::InForce);
+    const auto cache = ManifestCache::create();
+    EXPECT_EQ(cache->current(), nullptr);
+    EXPECT_EQ(cache->update(version(5)), UpdateOutcome::Activated);
+    EXPECT_EQ(cache->update(version(4)), UpdateOutcome::Outdated);
+    EXPECT_EQ(cache->update(version(5)), UpdateOutcome::AlreadyActive);
+    EXPECT_EQ(cache->current()->manifest().version, 5U);
+    EXPECT_EQ(cache->update(version(9)), UpdateOutcome::Activated);
 }
 
-TEST(ManifestKeeper, ARequestKeepsTheVersionItBeganWith)
+TEST(ManifestCache, ARequestKeepsTheVersionItBeganWith)
 {
-    const auto keeper = ManifestKeeper::create();
-    keeper->offer(version(1));
-    const ManifestPtr held = keeper->current();
-    keeper->offer(version(2));
+    const auto cache = ManifestCache::create();
+    cache->update(version(1));
+    const ManifestPtr held = cache->current();
+    cache->update(version(2));
     EXPECT_EQ(held->manifest().version, 1U);
 }
 
-TEST(ManifestKeeper, IsFreshOnlyWithinTheBoundOfItsLastProof)
+TEST(ManifestCache, IsFreshOnlyWithinTheBoundOfItsLastProof)
 {
-    const auto keeper = ManifestKeeper::create();
+    const auto cache = ManifestCache::create();
     const TimePoint start(std::chrono::hours(1));
-    EXPECT_FALSE(keeper->isFresh(start, milliseconds(5000)));
-    keeper->confirm(start);
-    EXPECT_TRUE(keeper->isFresh(start + milliseconds(5000), milliseconds(5000)));
-    EXPECT_FALSE(keeper->isFresh(start + milliseconds(5001), milliseconds(5000)));
-    keeper->confirm(start - milliseconds(100));
-    EXPECT_EQ(*keeper->age(start), Duration(0)) << "a late proof of an earlier time takes nothing back";
+    EXPECT_FALSE(cache->isFresh(start, milliseconds(5000)));
+    cache->confirm(start);
+    EXPECT_TRUE(cache->isFresh(start + milliseconds(5000), milliseconds(5000)));
+    EXPECT_FALSE(cache->isFresh(start + milliseconds(5001), milliseconds(5000)));
+    cache->confirm(start - milliseconds(100));
+    EXPECT_EQ(*cache->age(start), Duration(0)) << "a late proof of an earlier time takes nothing back";
 }
 
 // A store that was restored from a copy without the newest manifest would prove that keys taken away by it are valid.
-TEST(ManifestKeeper, IsNotConfirmedWhileAnotherVmHasANewerOne)
+TEST(ManifestCache, IsNotConfirmedWhileAnotherVmHasANewerOne)
 {
-    const auto keeper = ManifestKeeper::create();
+    const auto cache = ManifestCache::create();
     const TimePoint start(std::chrono::hours(1));
-    keeper->offer(version(5));
-    keeper->confirm(start);
-    keeper->noteElsewhere(6);
-    keeper->confirm(start + milliseconds(3000));
-    EXPECT_EQ(*keeper->age(start + milliseconds(3000)), milliseconds(3000));
-    keeper->offer(version(6));
-    keeper->confirm(start + milliseconds(4000));
-    EXPECT_EQ(*keeper->age(start + milliseconds(4000)), Duration(0));
-    keeper->noteElsewhere(5);
-    keeper->confirm(start + milliseconds(5000));
-    EXPECT_EQ(*keeper->age(start + milliseconds(5000)), Duration(0)) << "a VM that is behind says nothing";
+    cache->update(version(5));
+    cache->confirm(start);
+    cache->notePeerVersion(6);
+    cache->confirm(start + milliseconds(3000));
+    EXPECT_EQ(*cache->age(start + milliseconds(3000)), milliseconds(3000));
+    cache->update(version(6));
+    cache->confirm(start + milliseconds(4000));
+    EXPECT_EQ(*cache->age(start + milliseconds(4000)), Duration(0));
+    cache->notePeerVersion(5);
+    cache->confirm(start + milliseconds(5000));
+    EXPECT_EQ(*cache->age(start + milliseconds(5000)), Duration(0)) << "a VM that is behind says nothing";
 }
 
 // Guards against keys that a manifest took away being proved valid by the one before it.
-TEST(ManifestKeeper, IsNotConfirmedWhileTheNewestCanNotBeRead)
+TEST(ManifestCache, IsNotConfirmedWhileTheNewestCanNotBeRead)
 {
-    const auto keeper = ManifestKeeper::create();
+    const auto cache = ManifestCache::create();
     const TimePoint start(std::chrono::hours(1));
-    keeper->offer(version(5));
-    keeper->confirm(start);
-    keeper->noteUnreadable();
-    keeper->confirm(start + milliseconds(3000));
-    EXPECT_EQ(*keeper->age(start + milliseconds(3000)), milliseconds(3000));
-    keeper->offer(version(7));
-    keeper->confirm(start + milliseconds(4000));
-    EXPECT_EQ(*keeper->age(start + milliseconds(4000)), Duration(0));
+    cache->update(version(5));
+    cache->confirm(start);
+    cache->noteUnreadable();
+    cache->confirm(start + milliseconds(3000));
+    EXPECT_EQ(*cache->age(start + milliseconds(3000)), milliseconds(3000));
+    cache->update(version(7));
+    cache->confirm(start + milliseconds(4000));
+    EXPECT_EQ(*cache->age(start + milliseconds(4000)), Duration(0));
 }
 
 } // namespace
--- a/src/presence/presencemodule.cpp
+++ b/src/presence/presencemodule.cpp
@@ -1,7 +1,7 @@
 #include "directory/directory.h"
 #include "kernel/module.h"
 #include "kernel/runtime.h"
-#include "manifest/manifestkeeper.h"
+#include "manifest/manifestcache.h"
 #include "metrics/metrics.h"
 #include "presence/presence.h"
 #include "presence/tablerelay.h"
@@ -67,7 +67,7 @@
         addGauges(*context.get<metrics::Metrics>(), presence);
         context.set(TrueTime::create(*loop, context.get<rows::RowStore>(), presence));
         relayTables(context, *loop, presence);
-        tellManifest(presence, context.get<manifest::ManifestKeeper>());
+        tellManifest(presence, context.get<manifest::ManifestCache>());
         return success();
     }
 
@@ -79,10 +79,10 @@
         metrics.gauge("entry_vms_heard", [presence] { return static_cast<double>(presence->heardWithin(HeardWithin)); });
     }
 
-    static void tellManifest(const std::shared_ptr<Presence> &presence, const std::shared_ptr<manifest::ManifestKeeper> &manifests)
+    static void tellManifest(const std::shared_ptr<Presence> &presence, const std::shared_ptr<manifest::ManifestCache> &manifests)
     {
         presence->contribute([manifests](Status &status) { status.manifestVersion = manifests->current() ? manifests->current()->manifest().version : 0; });
-        presence->onStatus([manifests](const Status &status, std::optional<TimePoint>) { manifests->noteElsewhere(status.manifestVersion); });
+        presence->onStatus([manifests](const Status &status, std::optional<TimePoint>) { manifests->notePeerVersion(status.manifestVersion); });
     }
 
     static void relayTables(Context &context, EventLoop &loop, const std::shared_ptr<Presence> &presence)
