--- a/src/serverlimits/tests/serverlimitkeeper_test.cpp
+++ b/src/serverlimits/tests/serverratelimiter_test.cpp
@@ -1,4 +1,4 @@
-#include "serverlimits/serverlimitkeeper.h"
+#include "serverlimits/serverratelimiter.h"
 
 #include <gtest/gtest.h>
 
@@ -6,23 +6,23 @@
 
 namespace {
 
-using forwarding::LimitStatement;
+using forwarding::AdvertisedLimit;
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-const LimitStatement Unlimited{LimitStatement::Kind::Unlimited, 0};
-const LimitStatement Unknown{};
+const AdvertisedLimit Unlimited{AdvertisedLimit::Kind::Unlimited, 0};
+const AdvertisedLimit Unknown{};
 
-LimitStatement limited(double perSecond)
+AdvertisedLimit limited(double perSecond)
 {
-    return {LimitStatement::Kind::Limited, perSecond};
+    return {AdvertisedLimit::Kind::Limited, perSecond};
 }
 
 /// Two VMs before one server, on a paused clock.
-class ServerLimitKeeperTest : public testing::Test
+class ServerRateLimiterTest : public testing::Test
 {
 protected:
-    ServerLimitKeeperTest()
+    ServerRateLimiterTest()
     {
         loop_ = EventLoop::create(clock_).value();
         log_ = eventlog::EventLog::create(clock_, "test", [this](std::string_view line) {
@@ -43,9 +43,9 @@
         directory_->put(std::move(server));
     }
 
-    std::shared_ptr<ServerLimitKeeper> create(const std::string &vm)
+    std::shared_ptr<ServerRateLimiter> create(const std::string &vm)
     {
-        KeeperTools tools;
+        ServerRateLimiterTools tools;
         tools.loop = loop_.get();
         tools.directory = directory_;
         tools.log = log_;
@@ -56,7 +56,7 @@
         tools.vms = [this] {
             return vms_;
         };
-        return ServerLimitKeeper::create(std::move(tools));
+        return ServerRateLimiter::create(std::move(tools));
     }
 
     void pass(Duration time)
@@ -72,7 +72,7 @@
     }
 
     /// Requests that a VM may send in some time, if it sends as many as it may.
-    int sent(ServerLimitKeeper &keeper, Duration time)
+    int sent(ServerRateLimiter &keeper, Duration time)
     {
         int count = 0;
         for (Duration passed(0); passed < time; passed += milliseconds(10)) {
@@ -85,7 +85,7 @@
         return count;
     }
 
-    void tell(const ServerLimitKeeper &from, ServerLimitKeeper &to)
+    void tell(const ServerRateLimiter &from, ServerRateLimiter &to)
     {
         to.takeTold("peer", from.told());
     }
@@ -97,76 +97,76 @@
     std::shared_ptr<directory::Directory> directory_ = directory::Directory::create();
     bool isClockKnown_ = true;
     std::vector<std::string> vms_{"one", "two"};
-    std::shared_ptr<ServerLimitKeeper> one_;
-    std::shared_ptr<ServerLimitKeeper> two_;
+    std::shared_ptr<ServerRateLimiter> one_;
+    std::shared_ptr<ServerRateLimiter> two_;
 };
 
-TEST_F(ServerLimitKeeperTest, AServerWithoutALimitAlwaysHasRoom)
+TEST_F(ServerRateLimiterTest, AServerWithoutALimitAlwaysHasRoom)
 {
     one_->noteAnswer("server", Unlimited, now());
     EXPECT_TRUE(one_->hasRoom("server"));
-    EXPECT_FALSE(one_->perSecond("server"));
+    EXPECT_FALSE(one_->requestsPerSecond("server"));
     EXPECT_TRUE(one_->told().empty());
 }
 
-TEST_F(ServerLimitKeeperTest, AVmGetsItsPartOfTheLimit)
+TEST_F(ServerRateLimiterTest, AVmGetsItsPartOfTheLimit)
 {
     one_->noteAnswer("server", limited(1), now());
-    EXPECT_EQ(one_->perSecond("server"), 1);
-    EXPECT_EQ(one_->ownPerSecond("server"), 0.5);
+    EXPECT_EQ(one_->requestsPerSecond("server"), 1);
+    EXPECT_EQ(one_->ownRequestsPerSecond("server"), 0.5);
     EXPECT_NEAR(sent(*one_, seconds(200)), 100, 25);
 }
 
-TEST_F(ServerLimitKeeperTest, AVmHearsOfALimitFromAnother)
+TEST_F(ServerRateLimiterTest, AVmHearsOfALimitFromAnother)
 {
     one_->noteAnswer("server", limited(1), now());
     tell(*one_, *two_);
-    EXPECT_EQ(two_->perSecond("server"), 1);
+    EXPECT_EQ(two_->requestsPerSecond("server"), 1);
     EXPECT_TRUE(two_->told().empty()) << "who heard it tells it";
 }
 
-TEST_F(ServerLimitKeeperTest, TheNewestWordHolds)
+TEST_F(ServerRateLimiterTest, TheNewestWordHolds)
 {
     one_->noteAnswer("server", limited(1), now());
     const auto old = one_->told();
     pass(milliseconds(100));
     two_->noteAnswer("server", limited(2), now());
     two_->takeTold("one", one_->told());
-    EXPECT_EQ(two_->perSecond("server"), 2);
+    EXPECT_EQ(two_->requestsPerSecond("server"), 2);
     tell(*two_, *one_);
-    EXPECT_EQ(one_->perSecond("server"), 2);
+    EXPECT_EQ(one_->requestsPerSecond("server"), 2);
     EXPECT_TRUE(one_->told().empty()) << "its own word is no longer the newest";
 }
 
-TEST_F(ServerLimitKeeperTest, OnlyAnAnswerToALaterRequestEndsALimit)
+TEST_F(ServerRateLimiterTest, OnlyAnAnswerToALaterRequestEndsALimit)
 {
     const TimePoint before = now();
     pass(milliseconds(100));
     one_->noteAnswer("server", limited(1), now());
     one_->noteAnswer("server", Unlimited, before);
-    EXPECT_TRUE(one_->perSecond("server")) << "that answer may have been made before";
+    EXPECT_TRUE(one_->requestsPerSecond("server")) << "that answer may have been made before";
     one_->noteAnswer("server", Unknown, now());
-    EXPECT_TRUE(one_->perSecond("server"));
+    EXPECT_TRUE(one_->requestsPerSecond("server"));
     pass(milliseconds(100));
     one_->noteAnswer("server", Unlimited, now());
-    EXPECT_FALSE(one_->perSecond("server"));
+    EXPECT_FALSE(one_->requestsPerSecond("server"));
     EXPECT_TRUE(one_->hasRoom("server"));
 }
 
-TEST_F(ServerLimitKeeperTest, NewsFromBeforeDoesNotBringALimitBack)
+TEST_F(ServerRateLimiterTest, NewsFromBeforeDoesNotBringALimitBack)
 {
     one_->noteAnswer("server", limited(1), now());
     tell(*one_, *two_);
     pass(seconds(1));
     two_->noteAnswer("server", Unlimited, now());
-    EXPECT_FALSE(two_->perSecond("server"));
+    EXPECT_FALSE(two_->requestsPerSecond("server"));
     tell(*one_, *two_);
-    EXPECT_FALSE(two_->perSecond("server"));
+    EXPECT_FALSE(two_->requestsPerSecond("server"));
     tell(*two_, *one_);
-    EXPECT_FALSE(one_->perSecond("server")) << "the end is told too";
+    EXPECT_FALSE(one_->requestsPerSecond("server")) << "the end is told too";
 }
 
-TEST_F(ServerLimitKeeperTest, AnEndThatWasOnItsWayDoesNotEndALimitThatWasNamedAnew)
+TEST_F(ServerRateLimiterTest, AnEndThatWasOnItsWayDoesNotEndALimitThatWasNamedAnew)
 {
     one_->noteAnswer("server", limited(1), now());
     tell(*one_, *two_);
@@ -177,10 +177,10 @@
     two_->noteAnswer("server", limited(1), now());
     pass(milliseconds(100));
     two_->takeTold("one", end);
-    EXPECT_TRUE(two_->perSecond("server"));
+    EXPECT_TRUE(two_->requestsPerSecond("server"));
 }
 
-TEST_F(ServerLimitKeeperTest, AnEndIsBelievedAfterFurtherAnswers)
+TEST_F(ServerRateLimiterTest, AnEndIsBelievedAfterFurtherAnswers)
 {
     one_->noteAnswer("server", limited(1), now());
     pass(milliseconds(100));
@@ -188,14 +188,14 @@
     pass(milliseconds(50));
     one_->noteAnswer("server", Unlimited, now());
     tell(*one_, *two_);
-    EXPECT_TRUE(two_->perSecond("server")) << "it may be the older of the two";
+    EXPECT_TRUE(two_->requestsPerSecond("server")) << "it may be the older of the two";
     pass(milliseconds(500));
     one_->noteAnswer("server", Unlimited, now());
     tell(*one_, *two_);
-    EXPECT_FALSE(two_->perSecond("server"));
+    EXPECT_FALSE(two_->requestsPerSecond("server"));
 }
 
-TEST_F(ServerLimitKeeperTest, AnEndIsToldForAWhileOnly)
+TEST_F(ServerRateLimiterTest, AnEndIsToldForAWhileOnly)
 {
     one_->noteAnswer("server", limited(1), now());
     pass(milliseconds(100));
@@ -208,7 +208,7 @@
     EXPECT_TRUE(one_->told().empty());
 }
 
-TEST_F(ServerLimitKeeperTest, AnotherStartOfAServerHasNoLimit)
+TEST_F(ServerRateLimiterTest, AnotherStartOfAServerHasNoLimit)
 {
     one_->noteAnswer("server", limited(1), now());
     list("server-2");
@@ -218,7 +218,7 @@
     EXPECT_EQ(one_->limitedServers(), 0U);
 }
 
-TEST_F(ServerLimitKeeperTest, WithoutAClockOrTheListOfVmsALimitedServerGetsNothing)
+TEST_F(ServerRateLimiterTest, WithoutAClockOrTheListOfVmsALimitedServerGetsNothing)
 {
     isClockKnown_ = false;
     one_->noteAnswer("server", limited(1), now());
@@ -230,13 +230,13 @@
     EXPECT_GT(sent(*one_, seconds(20)), 10);
 }
 
-TEST_F(ServerLimitKeeperTest, ALimitThatNobodyReachesBindsNobody)
+TEST_F(ServerRateLimiterTest, ALimitThatNobodyReachesBindsNobody)
 {
     one_->noteAnswer("server", limited(1e300), now());
     EXPECT_TRUE(one_->hasRoom("server"));
 }
 
-TEST_F(ServerLimitKeeperTest, EachChangeIsLoggedOnce)
+TEST_F(ServerRateLimiterTest, EachChangeIsLoggedOnce)
 {
     for (int i = 0; i < 3; i++) {
         one_->noteAnswer("server", limited(1.5), now());
