--- a/src/balancing/balancingtypes.h
+++ b/src/balancing/balancingtypes.h
@@ -9,53 +9,53 @@
 
 namespace cardamomlift::balancing {
 
-/// What is known of one backend server's load.
+/// The load of one backend server, as this VM knows it.
 struct ServerLoad {
-    int localOpenRequests = 0; ///< Requests that this VM has there now.
-    std::int64_t localWaitingTokens = 0; ///< Of those that have not begun to answer.
-    std::int64_t peerWaitingTokens = 0; ///< The same at the other VMs, as they told.
-    int reportedRequests = 0; ///< Running and waiting, as the server said last.
-    int sentSinceReport = 0; ///< Less those that ended since.
+    int localOpenRequests = 0; ///< Requests of this VM that are in progress there.
+    std::int64_t localWaitingTokens = 0; ///< Prompt tokens of this VM's requests whose answers have not started.
+    std::int64_t peerWaitingTokens = 0; ///< The same for the other VMs, from their statuses.
+    int reportedRequests = 0; ///< Running and queued, in the server's last load report.
+    int sentSinceReport = 0; ///< Requests of this VM sent since that report, minus those that ended since.
     std::optional<TimePoint> reportedAt;
 };
 
-/// One server that may be chosen.
+/// A server that can be chosen for a request.
 struct Candidate {
     const directory::KnownServer *server = nullptr;
     ServerLoad load;
-    bool isOutlier = false; ///< Its requests fail more than others'.
-    std::int64_t cachedTokens = 0; ///< Of the prompt, believed to be in its cache.
+    bool isOutlier = false; ///< Its requests fail unusually often; see outliers::OutlierDetector.
+    std::int64_t cachedTokens = 0; ///< Prompt tokens that are expected to be in its cache.
 };
 
-/// What matters of a request for the choice.
+/// The properties of a request that the choice of a server depends on.
 struct ChoiceInput {
     std::string_view zone; ///< This VM's failure domain.
-    std::string_view affinity; ///< Requests with the same text share much of their prompt; empty: none.
+    std::string_view affinity; ///< Key of requests that share much of their prompt; empty: none.
     std::int64_t promptTokens = 0;
-    std::int64_t fetchableTokens = 0; ///< Of the prompt, in the cache of some server that others may copy it from.
-    std::uint64_t salt = 0; ///< Breaks ties, so that VMs with the same view do not all choose the same server.
+    std::int64_t fetchableTokens = 0; ///< The longest cached prefix of the prompt that another server can copy.
+    std::uint64_t salt = 0; ///< Breaks ties, so that VMs that know the same loads don't all choose the same server.
 };
 
-/// The weights of a choice. Costs are in shares of a server whose slots are all taken.
+/// Weights of the choice. A cost of 1 is that of a server whose slots are all in use.
 struct ChoiceParameters {
-    /// A server's own report counts for this long; after it only what this VM has open there does.
-    Duration reportLife = std::chrono::milliseconds(1500);
-    /// Servers that requests of one affinity go to first while nothing is known of caches. Two: a hot prompt does not depend
-    /// on one server, and a shared part is read twice at most.
-    std::size_t homeServers = 2;
-    /// A home server is passed over when its cost exceeds the least by this. A miss reads some thousand tokens again, about
-    /// the time that a quarter of the slots costs the others.
-    double homeAdvantage = 0.25;
-    /// Another failure domain counts as this share of a slot more: bytes between domains are paid for, and take longer.
-    double otherZoneCost = 0.3;
-    /// An outlier counts as this full. It is still better than none.
-    double outlierCost = 4.0;
-    /// So many prompt tokens that are still to be read count like a server whose slots are all taken: about what an engine
-    /// reads in a second, the time within which first tokens are promised.
-    double tokensOfAFullServer = 40'000;
-    /// What copying a token from another server's cache costs of reading it: the copy takes a fiftieth of the time, but its
-    /// bytes are paid for.
-    double copiedTokenCost = 0.4;
+    /// A load report is used for this long; an older one is ignored, and only this VM's own open requests count.
+    Duration reportLifetime = std::chrono::milliseconds(1500);
+    /// Number of servers that requests with the same affinity prefer while no cached prefix is known. With two, a hot prompt
+    /// does not depend on a single server, and a shared part is prefilled at most twice.
+    std::size_t affinityServers = 2;
+    /// An affinity server is skipped when its cost exceeds the lowest by more than this. A cache miss prefills some thousand
+    /// tokens again, which takes about as long as a quarter of the slots costs the other requests.
+    double affinityCostMargin = 0.25;
+    /// Added for a server in another failure domain, in slots: traffic between domains is billed and slower.
+    double crossZoneCost = 0.3;
+    /// Added for an outlier. It is still chosen when there is no other server.
+    double outlierPenalty = 4.0;
+    /// This many prompt tokens waiting for prefill cost as much as a server whose slots are all in use: about what an engine
+    /// prefills in a second, which is the promised time to the first token.
+    double tokensPerFullServer = 40'000;
+    /// Cost of copying a token from another server's cache relative to prefilling it. A copy takes a fiftieth of the time,
+    /// but its traffic is billed.
+    double copyCostRatio = 0.4;
 };
 
 } // namespace cardamomlift::balancing
--- a/src/balancing/choose.h
+++ b/src/balancing/choose.h
@@ -7,10 +7,10 @@
 
 namespace cardamomlift::balancing {
 
-/// The requests that a server is believed to hold now.
-double estimatedOpenRequests(const ServerLoad &load, const ChoiceParameters &figures, TimePoint now);
+/// The estimated number of requests at a server, running or queued. A fresh load report covers the requests of all VMs.
+double estimatedOpenRequests(const ServerLoad &load, const ChoiceParameters &parameters, TimePoint now);
 
-/// Ranks servers for requests of one affinity, the same on all VMs; the highest are its homes.
+/// Ranks servers for one affinity key by rendezvous hashing. All VMs get the same ranks; the highest are its affinity servers.
 class RendezvousRanker
 {
 public:
@@ -21,9 +21,10 @@
     std::uint64_t seed_;
 };
 
-/// The index of the server that shall get the request; empty if there is none. Where the beginning of its prompt is cached
-/// somewhere, it is the server with the least work before its first token; else requests of one affinity go to the same
-/// few servers on all VMs, without a word between them, unless those hold much more than the others.
-std::optional<std::size_t> choose(std::span<const Candidate> candidates, const ChoiceInput &input, const ChoiceParameters &figures, TimePoint now);
+/// Returns the index of the server to send the request to, or an empty value if there are no candidates. If a prefix of its
+/// prompt is cached anywhere, or it has no affinity, this is the server with the lowest cost. Otherwise requests with the same
+/// affinity go to the same few servers from all VMs, with no communication between these, unless those servers cost more than
+/// the cheapest one by over affinityCostMargin.
+std::optional<std::size_t> choose(std::span<const Candidate> candidates, const ChoiceInput &input, const ChoiceParameters &parameters, TimePoint now);
 
 } // namespace cardamomlift::balancing
--- a/src/balancing/tests/choose_test.cpp
+++ b/src/balancing/tests/choose_test.cpp
@@ -68,11 +68,11 @@
     }
     EXPECT_EQ(uses.size(), 12U);
     for (const auto &[server, count] : uses) {
-        EXPECT_LT(count, 100) << "twice the even part";
+        EXPECT_LT(count, 100) << "twice the even share";
     }
 }
 
-TEST(Choose, AServerThatComesOrGoesMovesOnlyItsOwnAffinities)
+TEST(Choose, AddingOrRemovingAServerMovesOnlyItsOwnAffinities)
 {
     const Fleet before(12);
     Fleet after(12);
@@ -87,7 +87,7 @@
     EXPECT_EQ(moved, 0);
 }
 
-TEST(Choose, AHotAffinityLeavesItsFullServers)
+TEST(Choose, AHotAffinitySpillsOverToOtherServers)
 {
     Fleet fleet(4);
     std::set<std::size_t> used;
@@ -102,7 +102,7 @@
     }
 }
 
-TEST(Choose, WithoutAffinityTheLeastLoadedIsTaken)
+TEST(Choose, WithoutAffinityTheLeastLoadedServerIsChosen)
 {
     Fleet fleet(3);
     fleet.loads[0].localOpenRequests = 3;
@@ -111,7 +111,7 @@
     EXPECT_EQ(fleet.pick(""), 2U);
 }
 
-TEST(Choose, VmsWithTheSameViewDoNotAllTakeTheSameServer)
+TEST(Choose, VmsThatKnowTheSameLoadsDoNotAllChooseTheSameServer)
 {
     const Fleet fleet(6);
     std::set<std::size_t> used;
@@ -133,7 +133,7 @@
     EXPECT_EQ(estimatedOpenRequests(load, {}, Now), 0);
 }
 
-/// A long prompt whose first 20,000 tokens server 0 keeps.
+/// A long prompt whose first 20,000 tokens are cached at server 0.
 struct CachedPrompt {
     CachedPrompt()
         : fleet(3)
@@ -160,17 +160,17 @@
     EXPECT_EQ(CachedPrompt().pick(), 0U);
 }
 
-TEST(Choose, ACachedPromptIsCopiedWhenItsServerHasMoreToReadThanTheCopyCosts)
+TEST(Choose, ACachedPromptIsCopiedWhenItsServerHasMoreToPrefillThanTheCopyCosts)
 {
     CachedPrompt prompt;
     prompt.fleet.loads[0].localWaitingTokens = 7'000;
     EXPECT_EQ(prompt.pick(), 0U) << "copying 20,000 tokens costs more";
     prompt.fleet.loads[0].peerWaitingTokens = 3'000;
-    EXPECT_NE(prompt.pick(), 0U) << "what other VMs sent there waits before it too";
+    EXPECT_NE(prompt.pick(), 0U) << "prompts that other VMs sent there are ahead of it too";
 }
 
-// Few requests are open, and the slots say nothing: one prompt of 40,000 tokens takes a second to read.
-TEST(Choose, LongPromptsThatWaitCountMoreThanOpenRequests)
+// With few open requests the slots don't matter, but the prefill of a prompt of 40,000 tokens takes a second.
+TEST(Choose, WaitingPromptTokensOutweighOpenRequests)
 {
     Fleet fleet(2);
     fleet.loads[0].localOpenRequests = 4;
@@ -179,7 +179,7 @@
     EXPECT_EQ(fleet.pick(""), 0U);
 }
 
-TEST(Choose, AnOutlierIsTakenOnlyWhenItIsTheLast)
+TEST(Choose, AnOutlierIsChosenOnlyWhenNoOtherServerIsLeft)
 {
     Fleet fleet(2);
     fleet.outliers = {0};
@@ -190,7 +190,7 @@
     EXPECT_EQ(fleet.pick(""), 0U);
 }
 
-TEST(Choose, NearServersGoFirstAmongEquals)
+TEST(Choose, ServersInTheSameZoneArePreferredAmongEquals)
 {
     Fleet fleet(4);
     for (std::size_t i = 0; i < 3; i++) {
--- a/src/balancing/tests/shortlist_test.cpp
+++ b/src/balancing/tests/shortlist_test.cpp
@@ -19,7 +19,7 @@
 
 constexpr int Slots = 12;
 
-/// Servers of one service in four failure domains, in order of their instances, which are drawn at random.
+/// Servers of one service in four failure domains, ordered by their instances, which are random names.
 std::vector<directory::ServerPtr> serversOf(std::size_t count)
 {
     std::mt19937_64 random(1);
@@ -45,15 +45,15 @@
     return std::find(list.begin(), list.end(), server) != list.end();
 }
 
-TEST(ShortList, FewServersAreAllWeighed)
+TEST(ShortList, FewServersAreAllConsidered)
 {
     const auto servers = serversOf(256);
     EXPECT_EQ(shortList(servers, {"part", {}, 7}, {}), servers);
     EXPECT_TRUE(shortList({}, {}, {}).empty());
 }
 
-// Guards against a cost of each request that grows with the servers.
-TEST(ShortList, OfManyServersAFixedNumberIsWeighed)
+// Guards against a time per request that grows with the number of servers.
+TEST(ShortList, OfManyServersAFixedNumberIsConsidered)
 {
     for (const std::size_t count : {257U, 1000U, 3000U, 10'000U}) {
         const auto servers = serversOf(count);
@@ -64,57 +64,57 @@
     }
 }
 
-TEST(ShortList, HoldsTheHomesOfAnAffinityWhateverIsDrawn)
+TEST(ShortList, HoldsTheAffinityServersWhateverTheSample)
 {
     const auto servers = serversOf(3000);
     const RendezvousRanker ranker("part");
-    const auto home = *std::max_element(
+    const auto affinityServer = *std::max_element(
         servers.begin(), servers.end(), [&ranker](const auto &a, const auto &b) { return ranker.rank(a->server.instance) < ranker.rank(b->server.instance); });
     for (std::uint64_t salt = 0; salt < 50; salt++) {
-        EXPECT_TRUE(holds(shortList(servers, {"part", {}, salt * 7919}, {}), home));
+        EXPECT_TRUE(holds(shortList(servers, {"part", {}, salt * 7919}, {}), affinityServer));
     }
 }
 
-TEST(ShortList, HoldsTheServersThatKeepThePrompt)
+TEST(ShortList, HoldsTheServersThatCacheThePrompt)
 {
     const auto servers = serversOf(3000);
     std::vector<std::uint64_t> cachingServers{servers[5]->hash, servers[1700]->hash, servers[2999]->hash};
     std::sort(cachingServers.begin(), cachingServers.end());
     const auto list = shortList(servers, {"part", cachingServers, 1}, {});
-    for (const std::size_t place : {5U, 1700U, 2999U}) {
-        EXPECT_TRUE(holds(list, servers[place]));
+    for (const std::size_t index : {5U, 1700U, 2999U}) {
+        EXPECT_TRUE(holds(list, servers[index]));
     }
 }
 
-TEST(ShortList, ServersAreDrawnEvenly)
+TEST(ShortList, ServersAreSampledEvenly)
 {
     const auto servers = serversOf(1000);
     std::mt19937_64 random(2);
-    std::map<const directory::KnownServer *, int> drawn;
+    std::map<const directory::KnownServer *, int> counts;
     constexpr int Requests = 5000;
     for (int i = 0; i < Requests; i++) {
         for (const auto &server : shortList(servers, {{}, {}, random()}, {})) {
-            drawn[server.get()]++;
+            counts[server.get()]++;
         }
     }
-    EXPECT_EQ(drawn.size(), servers.size());
-    for (const auto &[server, count] : drawn) {
+    EXPECT_EQ(counts.size(), servers.size());
+    for (const auto &[server, count] : counts) {
         EXPECT_NEAR(count, Requests * 128 / 1000, 150);
     }
 }
 
-/// Many VMs in all failure domains before 600 servers. Each knows what it has open itself, and what the servers had to do a
-/// moment ago. Requests come at two thirds of what the servers bear.
+/// Many VMs in all failure domains that share 600 servers. Each knows its own open requests, and the load that the servers
+/// reported in the step before. Requests arrive at two thirds of the servers' capacity.
 class ShortListSeeds : public testing::TestWithParam<unsigned>
 {
 protected:
-    /// The most requests that one server had at a time.
-    int busiest(const ShortListParameters &figures) const
+    /// Returns the highest number of concurrent requests at any server.
+    int mostConcurrent(const ShortListParameters &parameters) const
     {
         constexpr std::size_t Vms = 100;
         constexpr int Steps = 250;
-        constexpr int RequestsAStep = 48;
-        constexpr int StepsOfARequest = 100;
+        constexpr int RequestsPerStep = 48;
+        constexpr int StepsPerRequest = 100;
         const auto servers = serversOf(600);
         std::mt19937_64 random(GetParam());
         std::map<const directory::KnownServer *, int> open;
@@ -122,14 +122,14 @@
         std::deque<std::vector<std::pair<std::size_t, const directory::KnownServer *>>> running;
         int most = 0;
         for (int step = 0; step < Steps; step++) {
-            std::vector<std::pair<std::size_t, const directory::KnownServer *>> begun;
-            for (int i = 0; i < RequestsAStep; i++) {
+            std::vector<std::pair<std::size_t, const directory::KnownServer *>> started;
+            for (int i = 0; i < RequestsPerStep; i++) {
                 const std::size_t vm = random() % Vms;
                 ChoiceInput input;
                 const std::string zone = "zone-" + std::to_string(vm % 4);
                 input.zone = zone;
                 input.salt = random();
-                const auto list = shortList(servers, {{}, {}, input.salt}, figures);
+                const auto list = shortList(servers, {{}, {}, input.salt}, parameters);
                 std::vector<Candidate> candidates;
                 for (const auto &server : list) {
                     Candidate candidate;
@@ -142,13 +142,13 @@
                 }
                 const directory::KnownServer *chosen = candidates[*choose(candidates, input, {}, TimePoint(milliseconds(200)))].server;
                 own[vm][chosen]++;
-                begun.emplace_back(vm, chosen);
+                started.emplace_back(vm, chosen);
             }
-            for (const auto &[vm, server] : begun) {
+            for (const auto &[vm, server] : started) {
                 most = std::max(most, ++open[server]);
             }
-            running.push_back(std::move(begun));
-            if (running.size() > StepsOfARequest) {
+            running.push_back(std::move(started));
+            if (running.size() > StepsPerRequest) {
                 for (const auto &[vm, server] : running.front()) {
                     own[vm][server]--;
                     open[server]--;
@@ -160,14 +160,15 @@
     }
 };
 
-// Guards against servers that get more at a time, since each request sees a part of them only, than where it sees all.
-TEST_P(ShortListSeeds, NoServerIsOverrun)
+// Guards against sampling that concentrates load: no server may get more concurrent requests than when every request
+// considers all servers.
+TEST_P(ShortListSeeds, NoServerGetsMoreRequestsThanWithoutSampling)
 {
-    const int whole = busiest({100'000, 128, 4});
-    const int sampled = busiest({});
-    RecordProperty("whole", whole);
+    const int unsampled = mostConcurrent({100'000, 128, 4});
+    const int sampled = mostConcurrent({});
+    RecordProperty("whole", unsampled);
     RecordProperty("sampled", sampled);
-    EXPECT_LE(sampled, whole);
+    EXPECT_LE(sampled, unsampled);
 }
 
 INSTANTIATE_TEST_SUITE_P(Seeds, ShortListSeeds, testing::Range(1U, 6U));
