--- a/src/prefixindex/internal/prefixindex.cpp
+++ b/src/prefixindex/internal/prefixindex.cpp
@@ -7,17 +7,19 @@
 
 namespace {
 
-/// A prefix that nobody used for this long is likely evicted: a server of half a million tokens that reads some 15,000 a
-/// second is read through in that time.
-constexpr Duration HeldFor = std::chrono::seconds(30);
-/// Sends are told again for this long: at 90 VMs a peer hears a full status every 1.4 s, and one may be lost.
-constexpr Duration ToldFor = std::chrono::milliseconds(2500);
-/// A full status at ten requests a second has no more; it bounds a datagram at a higher rate to half a kilobyte.
-constexpr std::size_t MostTold = 32;
-/// Some hundred prefixes are in use at a time; a caller that makes up new ones costs 2 MB at most.
-constexpr std::size_t MostPrefixes = 20'000;
-/// Servers remembered for a prefix; a hot one may be everywhere, and any of these serves as a source.
-constexpr std::size_t MostHolders = 8;
+/// A prefix that was not used for this long has probably been evicted: a cache of half a million tokens is overwritten in that
+/// time by a server that prefills some 15,000 a second.
+constexpr Duration CacheLifetime = std::chrono::seconds(30);
+/// A send is repeated in this VM's statuses for this long: with 90 VMs a peer receives a full status every 1.4 s, and one may
+/// be lost.
+constexpr Duration ShareDuration = std::chrono::milliseconds(2500);
+/// Enough for a full status at ten requests a second. At higher rates it limits the size in the datagram to half a kilobyte.
+constexpr std::size_t MaxSharedUses = 32;
+/// Some hundred prefixes are in use at a time. The limit bounds the memory to 2 MB when a caller sends a new one with each
+/// request.
+constexpr std::size_t MaxPrefixes = 20'000;
+/// A popular prefix may be cached at all servers, but any few of them are enough to copy it from.
+constexpr std::size_t MaxServersPerPrefix = 8;
 
 } // namespace
 
@@ -33,19 +35,21 @@
 
 void PrefixIndex::note(std::uint64_t prefix, std::uint64_t server, TimePoint at)
 {
-    if (holders_.size() >= MostPrefixes && !holders_.contains(prefix)) {
+    if (cachingServers_.size() >= MaxPrefixes && !cachingServers_.contains(prefix)) {
         return;
     }
-    std::vector<CachingServer> &holders = holders_[prefix];
-    const auto known = std::find_if(holders.begin(), holders.end(), [server](const CachingServer &holder) { return holder.server == server; });
-    if (known != holders.end()) {
-        known->usedAt = std::max(known->usedAt, at);
+    std::vector<CachingServer> &cachingServers = cachingServers_[prefix];
+    const auto existing =
+        std::find_if(cachingServers.begin(), cachingServers.end(), [server](const CachingServer &caching) { return caching.server == server; });
+    if (existing != cachingServers.end()) {
+        existing->usedAt = std::max(existing->usedAt, at);
         return;
     }
-    if (holders.size() >= MostHolders) {
-        holders.erase(std::min_element(holders.begin(), holders.end(), [](const CachingServer &a, const CachingServer &b) { return a.usedAt < b.usedAt; }));
+    if (cachingServers.size() >= MaxServersPerPrefix) {
+        cachingServers.erase(
+            std::min_element(cachingServers.begin(), cachingServers.end(), [](const CachingServer &a, const CachingServer &b) { return a.usedAt < b.usedAt; }));
     }
-    holders.push_back({server, at});
+    cachingServers.push_back({server, at});
 }
 
 void PrefixIndex::noteSent(std::span<const Prefix> prefixes, std::string_view instance)
@@ -56,23 +60,23 @@
         note(prefix.hash, server, now);
         sent_.push_back({{prefix.hash, server}, now});
     }
-    if (sent_.size() > MostTold) {
-        sent_.erase(sent_.begin(), sent_.end() - MostTold);
+    if (sent_.size() > MaxSharedUses) {
+        sent_.erase(sent_.begin(), sent_.end() - MaxSharedUses);
     }
 }
 
-void PrefixIndex::takeTold(std::span<const presence::PrefixUse> uses)
+void PrefixIndex::applyPeerUses(std::span<const presence::PrefixUse> uses)
 {
     for (const presence::PrefixUse &use : uses) {
         note(use.prefix, use.server, loop_.now());
     }
 }
 
-std::vector<presence::PrefixUse> PrefixIndex::told() const
+std::vector<presence::PrefixUse> PrefixIndex::usesToShare() const
 {
     std::vector<presence::PrefixUse> uses;
     for (const Sent &sent : sent_) {
-        if (loop_.now() - sent.at <= ToldFor) {
+        if (loop_.now() - sent.at <= ShareDuration) {
             uses.push_back(sent.use);
         }
     }
@@ -83,18 +87,18 @@
 {
     std::map<std::uint64_t, std::int64_t> tokens;
     for (const Prefix &prefix : prefixes) {
-        const auto found = holders_.find(prefix.hash);
-        if (found == holders_.end()) {
+        const auto found = cachingServers_.find(prefix.hash);
+        if (found == cachingServers_.end()) {
             continue;
         }
-        for (const CachingServer &holder : found->second) {
-            tokens[holder.server] = prefix.tokens;
+        for (const CachingServer &caching : found->second) {
+            tokens[caching.server] = prefix.tokens;
         }
     }
     std::vector<PrefixMatch> matches;
     matches.reserve(tokens.size());
-    for (const auto &[server, held] : tokens) {
-        matches.push_back({server, held});
+    for (const auto &[server, cachedTokens] : tokens) {
+        matches.push_back({server, cachedTokens});
     }
     return matches;
 }
@@ -102,15 +106,15 @@
 void PrefixIndex::tick()
 {
     const TimePoint now = loop_.now();
-    for (auto entry = holders_.begin(); entry != holders_.end();) {
-        std::erase_if(entry->second, [now](const CachingServer &holder) { return now - holder.usedAt > HeldFor; });
-        entry = entry->second.empty() ? holders_.erase(entry) : std::next(entry);
+    for (auto entry = cachingServers_.begin(); entry != cachingServers_.end();) {
+        std::erase_if(entry->second, [now](const CachingServer &caching) { return now - caching.usedAt > CacheLifetime; });
+        entry = entry->second.empty() ? cachingServers_.erase(entry) : std::next(entry);
     }
 }
 
 std::size_t PrefixIndex::size() const
 {
-    return holders_.size();
+    return cachingServers_.size();
 }
 
 } // namespace cardamomlift::prefixindex
--- a/src/prefixindex/internal/prefixrules.cpp
+++ b/src/prefixindex/internal/prefixrules.cpp
@@ -11,7 +11,7 @@
     std::vector<Prefix> prefixes;
     Prefix prefix;
     for (std::size_t i = 0; i + 1 < prompt.size(); i++) {
-        // A part is only of use behind the same parts: its hash goes on from theirs.
+        // A cached part can be reused only after the same preceding parts, so its hash is chained to theirs.
         prefix.hash = XXH3_64bits_withSeed(prompt[i].id.data(), prompt[i].id.size(), prefix.hash);
         prefix.tokens += prompt[i].tokens;
         prefixes.push_back(prefix);
@@ -21,9 +21,9 @@
 
 std::int64_t matchedTokens(std::span<const PrefixMatch> matches, std::uint64_t server)
 {
-    const auto place =
+    const auto found =
         std::lower_bound(matches.begin(), matches.end(), server, [](const PrefixMatch &match, std::uint64_t wanted) { return match.server < wanted; });
-    return place != matches.end() && place->server == server ? place->tokens : 0;
+    return found != matches.end() && found->server == server ? found->tokens : 0;
 }
 
 } // namespace cardamomlift::prefixindex
--- a/src/prefixindex/prefixindex.h
+++ b/src/prefixindex/prefixindex.h
@@ -11,22 +11,22 @@
 
 namespace cardamomlift::prefixindex {
 
-/// Which backend servers are believed to keep which prefixes in their caches: those that were sent a request with the
-/// prefix lately, by this VM or, as they told, by the others. A belief that is wrong costs the reading of the prefix.
+/// Predicts which backend servers have which prompt prefixes in their KV caches: those that this VM or, according to their
+/// statuses, other VMs have recently sent a request with the prefix. A wrong prediction costs the prefill of the prefix.
 class PrefixIndex
 {
 public:
     static std::shared_ptr<PrefixIndex> create(EventLoop &loop);
 
-    /// A request with @p prefixes went to the server @p instance.
+    /// Records that a request with @p prefixes was sent to the server @p instance.
     void noteSent(std::span<const Prefix> prefixes, std::string_view instance);
-    /// What another VM told.
-    void takeTold(std::span<const presence::PrefixUse> uses);
-    /// What the other VMs should hear: this VM's newest sends, one line for each server and longest prefix.
-    std::vector<presence::PrefixUse> told() const;
-    /// The servers that are believed to keep one of @p prefixes (shortest first), in order of their hashes.
+    /// Adds the uses in another VM's status.
+    void applyPeerUses(std::span<const presence::PrefixUse> uses);
+    /// Returns this VM's latest sends, for its next status: one entry for each prefix of a request, with the server.
+    std::vector<presence::PrefixUse> usesToShare() const;
+    /// Returns the servers that are expected to cache one of @p prefixes (shortest first), sorted by their hashes.
     std::vector<PrefixMatch> matches(std::span<const Prefix> prefixes) const;
-    /// Forgets what is too old. Call it a few times a second.
+    /// Removes expired entries. To be called a few times a second.
     void tick();
     std::size_t size() const;
 
@@ -38,8 +38,8 @@
         TimePoint at;
     };
     EventLoop &loop_;
-    std::unordered_map<std::uint64_t, std::vector<CachingServer>> holders_; ///< By the hash of the prefix.
-    std::vector<Sent> sent_; ///< By this VM, oldest first.
+    std::unordered_map<std::uint64_t, std::vector<CachingServer>> cachingServers_; ///< Keyed by the hash of the prefix.
+    std::vector<Sent> sent_; ///< This VM's latest sends, oldest first.
 };
 
 } // namespace cardamomlift::prefixindex
--- a/src/prefixindex/prefixindexmodule.cpp
+++ b/src/prefixindex/prefixindexmodule.cpp
@@ -33,8 +33,8 @@
         EventLoop *loop = context.get<Runtime>()->loop;
         const auto presence = context.get<presence::Presence>();
         const auto index = PrefixIndex::create(*loop);
-        presence->contribute([index](presence::Status &status) { status.prefixes = index->told(); });
-        presence->onStatus([index](const presence::Status &status, std::optional<TimePoint>) { index->takeTold(status.prefixes); });
+        presence->contribute([index](presence::Status &status) { status.prefixes = index->usesToShare(); });
+        presence->onStatus([index](const presence::Status &status, std::optional<TimePoint>) { index->applyPeerUses(status.prefixes); });
         loop->every(TickPeriod, [index] { index->tick(); });
         context.get<metrics::Metrics>()->gauge("prompt_prefixes_known", [index] { return static_cast<double>(index->size()); });
         context.set(index);
--- a/src/prefixindex/prefixindextypes.h
+++ b/src/prefixindex/prefixindextypes.h
@@ -6,22 +6,22 @@
 
 namespace cardamomlift::prefixindex {
 
-/// The beginning of a prompt that other requests may share: its first parts, in order.
+/// A prefix of a prompt, made of its first parts, that other requests may share.
 struct Prefix {
     std::uint64_t hash = 0; ///< Of all its parts; see prefixesOf().
     std::int64_t tokens = 0; ///< Of all its parts together.
 };
 
-/// What a server is believed to keep of one prompt.
+/// The longest prefix of one prompt that a server is expected to have in its cache.
 struct PrefixMatch {
     std::uint64_t server = 0; ///< presence::nameHash() of the instance.
-    std::int64_t tokens = 0; ///< Of the longest prefix that it keeps.
+    std::int64_t tokens = 0; ///< Length of the prefix.
 };
 
-/// A server that is believed to keep a prefix in its cache.
+/// A server that is expected to have a prefix in its cache.
 struct CachingServer {
     std::uint64_t server = 0; ///< presence::nameHash() of the instance.
-    TimePoint usedAt; ///< When a request with the prefix went there last.
+    TimePoint usedAt; ///< When a request with the prefix was last sent to it.
 };
 
 } // namespace cardamomlift::prefixindex
--- a/src/prefixindex/prefixrules.h
+++ b/src/prefixindex/prefixrules.h
@@ -8,11 +8,11 @@
 
 namespace cardamomlift::prefixindex {
 
-/// The prefixes of @p prompt, shortest first. The last part belongs to one request or session alone and is left out. The
+/// Returns the prefixes of @p prompt, shortest first, without its last part, which belongs to a single request or session. The
 /// hashes are the same on all VMs.
 std::vector<Prefix> prefixesOf(std::span<const forwarding::PromptPart> prompt);
 
-/// What the server with the hash @p server keeps; @p matches are in order of the hashes.
+/// Returns the cached tokens at the server with the hash @p server, 0 if it is not in @p matches, which are sorted by hash.
 std::int64_t matchedTokens(std::span<const PrefixMatch> matches, std::uint64_t server);
 
 } // namespace cardamomlift::prefixindex
--- a/src/prefixindex/tests/prefixindex_test.cpp
+++ b/src/prefixindex/tests/prefixindex_test.cpp
@@ -11,7 +11,7 @@
 
 const std::vector<PromptPart> Prompt{{"shared", 2500}, {"dossier", 3800}, {"own", 2900}};
 
-TEST(PrefixRules, TheLastPartIsNobodyElses)
+TEST(PrefixRules, TheLastPartIsNotShared)
 {
     const auto prefixes = prefixesOf(Prompt);
     ASSERT_EQ(prefixes.size(), 2U);
@@ -21,12 +21,12 @@
     EXPECT_TRUE(prefixesOf({}).empty());
 }
 
-TEST(PrefixRules, APartCountsOnlyBehindTheSameParts)
+TEST(PrefixRules, APartMatchesOnlyAfterTheSameParts)
 {
     const auto one = prefixesOf(Prompt);
     const auto other = prefixesOf(std::vector<PromptPart>{{"else", 2500}, {"dossier", 3800}, {"own", 2900}});
     EXPECT_NE(one[0].hash, other[0].hash);
-    EXPECT_NE(one[1].hash, other[1].hash) << "a cache keeps it only with all parts before it";
+    EXPECT_NE(one[1].hash, other[1].hash) << "a cache can reuse it only after the same parts";
 }
 
 class PrefixIndexTest : public testing::Test
@@ -39,7 +39,7 @@
     {
     }
 
-    std::int64_t held(std::string_view instance) const
+    std::int64_t cachedTokens(std::string_view instance) const
     {
         return matchedTokens(index_->matches(prefixes_), presence::nameHash(instance));
     }
@@ -54,13 +54,13 @@
 {
     index_->noteSent(std::span(prefixes_).first(1), "a");
     index_->noteSent(prefixes_, "b");
-    EXPECT_EQ(held("a"), 2500);
-    EXPECT_EQ(held("b"), 6300);
-    EXPECT_EQ(held("c"), 0);
+    EXPECT_EQ(cachedTokens("a"), 2500);
+    EXPECT_EQ(cachedTokens("b"), 6300);
+    EXPECT_EQ(cachedTokens("c"), 0);
 }
 
-// The choice of a server looks holders up by hash, where it does not ask each server.
-TEST_F(PrefixIndexTest, ListsEachHolderOnceInOrderOfTheHashes)
+// The choice of a server finds matches by binary search over the hashes.
+TEST_F(PrefixIndexTest, ListsEachServerOnceSortedByHash)
 {
     for (const char *instance : {"c", "a", "d", "b"}) {
         index_->noteSent(prefixes_, instance);
@@ -74,40 +74,40 @@
     EXPECT_EQ(matchedTokens({}, 7), 0);
 }
 
-TEST_F(PrefixIndexTest, HearsFromOtherVms)
+TEST_F(PrefixIndexTest, LearnsFromOtherVms)
 {
     const auto other = PrefixIndex::create(*loop_);
     other->noteSent(prefixes_, "a");
-    index_->takeTold(other->told());
-    EXPECT_EQ(held("a"), 6300);
-    EXPECT_TRUE(index_->told().empty()) << "what was heard is not told again";
+    index_->applyPeerUses(other->usesToShare());
+    EXPECT_EQ(cachedTokens("a"), 6300);
+    EXPECT_TRUE(index_->usesToShare().empty()) << "uses received from a peer are not sent on";
 }
 
-TEST_F(PrefixIndexTest, ForgetsWhatNobodyUses)
+TEST_F(PrefixIndexTest, ForgetsUnusedPrefixes)
 {
     index_->noteSent(prefixes_, "a");
     clock_.advance(std::chrono::seconds(29));
     index_->tick();
-    EXPECT_EQ(held("a"), 6300);
-    EXPECT_TRUE(index_->told().empty()) << "old news";
+    EXPECT_EQ(cachedTokens("a"), 6300);
+    EXPECT_TRUE(index_->usesToShare().empty()) << "too old to repeat";
     clock_.advance(std::chrono::seconds(2));
     index_->tick();
     EXPECT_EQ(index_->size(), 0U);
 }
 
-// A caller that makes up a new prompt for each request must not cost memory or datagrams without bound.
-TEST_F(PrefixIndexTest, StaysBoundedUnderPromptsThatNeverComeAgain)
+// Guards against unbounded memory and datagrams when a caller sends a new prompt with each request.
+TEST_F(PrefixIndexTest, StaysBoundedWhenPromptsNeverRepeat)
 {
     for (int i = 0; i < 30'000; i++) {
         const auto prefixes = prefixesOf(std::vector<PromptPart>{{std::to_string(i), 10}, {"own", 1}});
         index_->noteSent(prefixes, "a");
     }
     EXPECT_LE(index_->size(), 20'000U);
-    EXPECT_LE(index_->told().size(), 32U);
+    EXPECT_LE(index_->usesToShare().size(), 32U);
     for (int i = 0; i < 100; i++) {
         index_->noteSent(prefixes_, "server-" + std::to_string(i));
     }
-    EXPECT_LE(index_->told().size(), 32U);
+    EXPECT_LE(index_->usesToShare().size(), 32U);
 }
 
 } // namespace
