--- a/src/presence/tabledelta.h
+++ b/src/presence/tabledelta.h
@@ -18,6 +18,6 @@
 
 /// What a VM is to be told that knows all changes up to @p has. Empty if @p news does not hold all that came after, or if
 /// they are too large for a datagram.
-std::optional<TableDelta> deltaSince(const rows::TableNews &news, rows::StoreVersion has);
+std::optional<TableDelta> deltaSince(const rows::TableDelta &news, rows::StoreVersion has);
 
 } // namespace cardamomlift::presence
--- a/src/rollout/internal/rolloutagent.cpp
+++ b/src/rollout/internal/rolloutagent.cpp
@@ -302,7 +302,7 @@
     }
 }
 
-void RolloutAgent::applyAllRecords(const rows::WholeTable &whole)
+void RolloutAgent::applyAllRecords(const rows::TableSnapshot &whole)
 {
     applyRecords(whole.rows);
     std::set<std::string_view> listed;
--- a/src/rollout/rolloutcontrollermodule.cpp
+++ b/src/rollout/rolloutcontrollermodule.cpp
@@ -31,7 +31,7 @@
     Result<void> start(Context &context) override
     {
         const auto agent = context.find<RolloutAgent>();
-        const auto lease = context.find<duties::DutyLease>();
+        const auto lease = context.find<duties::LeaderLease>();
         if (!agent || !lease) {
             return success();
         }
