--- a/src/forwarding/customerhooks.h
+++ b/src/forwarding/customerhooks.h
@@ -5,29 +5,29 @@
 
 namespace cardamomlift::forwarding {
 
-/// What a customer's allowance says of one request.
+/// Result of charging one request to a customer's allowance.
 struct AllowanceDecision {
     bool isAllowed = true;
-    Duration retryAfter{0}; ///< When there will be room again.
-    /// What decided, for the log, in the unit of the allowance.
+    Duration retryAfter{0}; ///< If it was denied: the time until the allowance has room again.
+    /// The inputs of the decision, for the log, in the unit of the allowance (requests or tokens).
     std::int64_t requested = 0;
-    std::int64_t remaining = 0; ///< In the customer's bucket, as this VM reckons.
+    std::int64_t remaining = 0; ///< Level of the customer's token bucket, as estimated by this VM.
     std::int64_t limitPerSecond = 0;
-    std::int64_t localDemandPerSecond = 0; ///< By callers of this VM.
-    std::int64_t remoteDemandPerSecond = 0; ///< As the other VMs said.
+    std::int64_t localDemandPerSecond = 0; ///< Requested by callers of this VM.
+    std::int64_t remoteDemandPerSecond = 0; ///< Requested at the other VMs, as they reported.
 };
 
-/// Judges requests by the customer's allowance.
+/// Enforces customers' allowances.
 class AllowanceGate
 {
 public:
     virtual ~AllowanceGate() = default;
     virtual AllowanceDecision take(const manifest::Customer &customer, std::int64_t amount) = 0;
-    /// Gives back what was taken for a request that did not run.
+    /// Returns @p amount to the allowance after a request that did not run.
     virtual void refund(const manifest::Customer &customer, std::int64_t amount) = 0;
 };
 
-/// Told when a request has begun to run.
+/// Counts the requests that have begun to run, by customer.
 class UsageMeter
 {
 public:
--- a/src/forwarding/eventsplitter.h
+++ b/src/forwarding/eventsplitter.h
@@ -5,28 +5,28 @@
 
 namespace cardamomlift::forwarding {
 
-/// Cuts a stream of server-sent events at the ends of events, so that only whole events go on to a caller. Bytes are passed
-/// on unchanged.
+/// Splits a stream of server-sent events at event boundaries, so that a caller receives whole events only. The bytes
+/// themselves are not changed.
 class EventSplitter
 {
 public:
-    /// Longest event that is held back; a longer one is passed on in parts.
-    static constexpr std::size_t LongestEvent = 256 * 1024;
+    /// Longest event that is buffered; a longer one is passed on in parts.
+    static constexpr std::size_t MaxEventBytes = 256 * 1024;
 
-    /// Takes bytes and returns those that end whole events.
+    /// Appends @p bytes and returns the buffered bytes up to the end of the last whole event; empty if none has ended.
     std::string feed(std::string_view bytes);
-    /// What has come of an event that has not ended.
-    const std::string &rest() const;
-    /// Forgets the rest: the stream goes on elsewhere behind the last whole event.
-    void dropRest();
-    /// The id of the last whole event; empty before the first.
+    /// The buffered bytes of an event that has not ended yet.
+    const std::string &incompleteEvent() const;
+    /// Discards the incomplete event, for a stream that is resumed at another server after the last whole event.
+    void dropIncompleteEvent();
+    /// The id of the last whole event; empty before the first one.
     const std::string &lastId() const;
-    /// Whole events so far.
+    /// Number of whole events so far.
     std::size_t events() const;
 
 private:
-    void noteEvents(std::string_view whole);
-    std::string rest_;
+    void scanEvents(std::string_view whole);
+    std::string incompleteEvent_;
     std::string lastId_;
     std::size_t events_ = 0;
 };
--- a/src/forwarding/forwarder.h
+++ b/src/forwarding/forwarder.h
@@ -27,7 +27,7 @@
 
 namespace cardamomlift::forwarding {
 
-/// What a forwarder works with. All but the hooks must be set.
+/// Dependencies of a Forwarder. All must be set except those that may be null.
 struct ForwarderTools {
     EventLoop *loop = nullptr;
     std::shared_ptr<manifest::ManifestKeeper> manifests;
@@ -35,11 +35,11 @@
     std::shared_ptr<ServerPool> pool;
     std::shared_ptr<eventlog::EventLog> log;
     std::shared_ptr<metrics::Metrics> metrics;
-    std::shared_ptr<AllowanceGate> allowances; ///< May be null: no bound.
+    std::shared_ptr<AllowanceGate> allowances; ///< May be null: no allowance is enforced.
     std::shared_ptr<UsageMeter> usage; ///< May be null.
-    std::shared_ptr<VersionGate> versions; ///< May be null: versions make no difference.
-    std::shared_ptr<ServerLimitGate> limits; ///< May be null: servers name no limits.
-    /// How many VMs share what may be repeated; empty while it is not known.
+    std::shared_ptr<VersionGate> versions; ///< May be null: all server versions are treated alike.
+    std::shared_ptr<ServerLimitGate> limits; ///< May be null: rate limits advertised by servers are ignored.
+    /// Number of entry VMs that share the retry budget; empty while it is not known.
     std::function<std::optional<std::size_t>()> vmCount;
     std::shared_ptr<ServiceDemand> demand;
     std::shared_ptr<outliers::OutlierDetector> outliers;
@@ -51,7 +51,7 @@
 
 class ForwardedRequest;
 
-/// Takes callers' requests and has them answered by backend servers, by the declared routes.
+/// Forwards callers' requests to backend servers by the routes of the manifest.
 class Forwarder : public std::enable_shared_from_this<Forwarder>
 {
 public:
@@ -59,35 +59,37 @@
 
     void handle(http1::ExchangePtr exchange);
     std::size_t openRequests() const;
-    /// Follows the number of VMs, and lets what a young process may repeat grow. Called a few times a second.
+    /// Adapts the retry budgets to the number of VMs and to the age of this process. Called a few times a second.
     void tick();
-    /// This VM ends at @p end: requests that may not be answered by then are refused.
+    /// Announces that this process ends at @p end: after a transition period, requests whose deadline is later are refused.
     void beginDrain(TimePoint end);
     void setSettings(const ForwardingSettings &settings);
-    /// All servers of @p service but those of @p version stop at @p stopAt, without draining: runs that have not ended by
-    /// then are moved, as in a reclaim.
+    /// Announces that all servers of @p service except those of @p version stop at @p stopAt, without draining. Runs that are
+    /// still open there shortly before that are moved to other servers, as when a server is reclaimed.
     void moveRunsOffOtherVersions(const std::string &service, const std::string &version, TimePoint stopAt);
 
 private:
     friend class ForwardedRequest;
-    void onLeaving(const directory::ServerPtr &server);
+    void onServerLeaving(const directory::ServerPtr &server);
     explicit Forwarder(ForwarderTools tools);
     retry::RetryBudget &budget(const std::string &service);
     void forget(ForwardedRequest *request);
-    std::shared_ptr<ForwarderTools> tools_; ///< Shared with the requests, which the loop may free later than this.
-    /// True if a request that may last until @p deadline is still taken.
-    bool takesWork(TimePoint deadline) const;
-    std::optional<TimePoint> drainBegan_;
-    TimePoint drainEnd_;
+    std::shared_ptr<ForwarderTools> tools_; ///< Shared with the requests, which the event loop may free after this object.
+    /// True if a request that may last until @p deadline is still accepted.
+    bool acceptsRequest(TimePoint deadline) const;
+    std::optional<TimePoint> drainStartedAt_;
+    TimePoint drainEndsAt_;
     struct ServiceBudget {
-        retry::RetryBudget repeats;
-        double granted = 0; ///< Of the most that may be saved up, since the process began.
+        retry::RetryBudget retries;
+        double granted = 0; ///< Retries granted with the age of the process, beside those that requests earn.
     };
-    double mostRepeats() const;
-    double grantedPart() const;
+    /// Most unused retries that the budget of a service may hold.
+    double maxSavedRetries() const;
+    /// Fraction of maxSavedRetries() granted by now; grows with the age of the process.
+    double grantedFraction() const;
     TimePoint startedAt_;
     std::map<std::string, ServiceBudget> budgets_; ///< By service.
-    RetryPacer retryPacer_; ///< Of callers refused by servers' limits.
+    RetryPacer retryPacer_; ///< For callers that are refused because of servers' rate limits.
     std::map<ForwardedRequest *, std::shared_ptr<ForwardedRequest>> open_;
 };
 
--- a/src/forwarding/forwardingmodule.cpp
+++ b/src/forwarding/forwardingmodule.cpp
@@ -7,20 +7,20 @@
 
 namespace {
 
-constexpr Duration PoolTick = std::chrono::milliseconds(500);
+constexpr Duration TickPeriod = std::chrono::milliseconds(500);
 
 /// A process that did not run for longer than this is told of in the log.
-constexpr Duration LeastSuspension = std::chrono::milliseconds(500);
+constexpr Duration MinSuspension = std::chrono::milliseconds(500);
 
 void watchSuspensions(EventLoop &loop, const std::shared_ptr<eventlog::EventLog> &log)
 {
     // NOTE The loop copies an action before each call, so what it remembers is shared.
     const auto last = std::make_shared<TimePoint>(loop.now());
-    loop.every(PoolTick, [&loop, log, last] {
-        const Duration stood = loop.now() - *last - PoolTick;
+    loop.every(TickPeriod, [&loop, log, last] {
+        const Duration pausedFor = loop.now() - *last - TickPeriod;
         *last = loop.now();
-        if (stood >= LeastSuspension) {
-            log->write(eventlog::Event::Suspended, {{eventlog::Attribute::TookMs, std::chrono::duration_cast<std::chrono::milliseconds>(stood).count()}});
+        if (pausedFor >= MinSuspension) {
+            log->write(eventlog::Event::Suspended, {{eventlog::Attribute::TookMs, std::chrono::duration_cast<std::chrono::milliseconds>(pausedFor).count()}});
         }
     });
 }
@@ -65,7 +65,7 @@
         context.get<presence::Presence>()->contribute(
             [demand = tools.demand, loop = tools.loop](presence::Status &status) { status.services = demand->loads(loop->now()); });
         tools.peerBacklog = std::make_shared<PeerBacklog>();
-        context.get<presence::Presence>()->contribute([pool](presence::Status &status) { status.works = pool->waitingWork(); });
+        context.get<presence::Presence>()->contribute([pool](presence::Status &status) { status.works = pool->waitingTokens(); });
         context.get<presence::Presence>()->onStatus([work = tools.peerBacklog, loop = tools.loop](const presence::Status &status, std::optional<TimePoint>) {
             if (!status.isPartial) {
                 work->update(status.instance, status.works, loop->now());
@@ -88,7 +88,7 @@
         gatewayTools.metrics = tools.metrics;
         EventLoop *loop = tools.loop;
         const auto forwarder = Forwarder::create(std::move(tools));
-        loop->every(PoolTick, [pool, forwarder] {
+        loop->every(TickPeriod, [pool, forwarder] {
             pool->tick();
             forwarder->tick();
         });
--- a/src/forwarding/forwardingtypes.h
+++ b/src/forwarding/forwardingtypes.h
@@ -9,20 +9,21 @@
 
 namespace cardamomlift::forwarding {
 
-/// Why a request got an answer of this VM's own. One name each (reasonName()), one counter each.
+/// Why this VM answered a request itself instead of forwarding a backend server's answer. Each reason has a name
+/// (reasonName()) that labels its counter.
 enum class FailureReason {
-    NoManifest, ///< This VM knows no declarations yet.
-    StaleKeys, ///< What it knows of keys may be out of date.
+    NoManifest, ///< This VM has not received a manifest yet.
+    StaleKeys, ///< The manifest, with its routes and keys, may be out of date.
     NoRoute,
     UnknownKey,
-    OverAllowance, ///< The customer has used what it may.
+    OverAllowance, ///< The customer's allowance is used up.
     NoServer, ///< No backend server is known.
     ServersFull, ///< All backend servers refused.
-    ServersLimited, ///< The limits that backend servers have named leave no room.
-    RetryBudget, ///< It may run again, but another send would exceed what all VMs may repeat.
-    OutOfTime, ///< The time limit came before an answer.
-    AttemptsUsed, ///< It may run again, but as many sends as the route allows have failed.
-    OutcomeUnknown, ///< The request may have run, and it may not run again.
+    ServersLimited, ///< The rate limits advertised by the backend servers leave no room.
+    RetryBudget, ///< The request may be retried, but the retry budget is used up.
+    OutOfTime, ///< The time limit expired before an answer came.
+    AttemptsUsed, ///< The request may be retried, but has failed as often as the route allows.
+    OutcomeUnknown, ///< The request may have run and must not be retried.
     StreamBroken,
     Draining,
     Count
@@ -30,13 +31,13 @@
 
 std::string_view reasonName(FailureReason reason);
 
-/// How backend servers are reached and how often requests are repeated.
+/// Settings of the forwarder: freshness of keys, and limits on retries.
 struct ForwardingSettings {
     std::string zone; ///< This VM's failure domain.
-    Duration keysFreshFor = std::chrono::milliseconds(4500); ///< Keys are judged by knowledge younger than this.
-    bool strictKeys = true; ///< Without it, known keys go on being served when knowledge grows old.
-    double retryRatio = 0.2; ///< Repeats over first sends to a service, over all VMs.
-    double retrySlack = 10; ///< And this many more in a window, over all VMs.
+    Duration maxKeyAge = std::chrono::milliseconds(4500); ///< Greatest age of a manifest that keys are checked against.
+    bool strictKeys = true; ///< If false, known keys are also accepted while the manifest is older than maxKeyAge.
+    double retryRatio = 0.2; ///< Retries allowed per first attempt to a service, over all VMs.
+    double retrySlack = 10; ///< Retries allowed on top of these per retryWindow, over all VMs.
     Duration retryWindow = std::chrono::seconds(10);
 };
 
--- a/src/forwarding/internal/eventsplitter.cpp
+++ b/src/forwarding/internal/eventsplitter.cpp
@@ -13,19 +13,19 @@
 
 std::string EventSplitter::feed(std::string_view bytes)
 {
-    rest_ += bytes;
-    const auto end = rest_.rfind(EventEnd);
-    if (end == std::string::npos && rest_.size() <= LongestEvent) {
+    incompleteEvent_ += bytes;
+    const auto end = incompleteEvent_.rfind(EventEnd);
+    if (end == std::string::npos && incompleteEvent_.size() <= MaxEventBytes) {
         return {};
     }
-    const std::size_t cut = end == std::string::npos ? rest_.size() : end + EventEnd.size();
-    std::string whole = rest_.substr(0, cut);
-    rest_.erase(0, cut);
-    noteEvents(whole);
+    const std::size_t cut = end == std::string::npos ? incompleteEvent_.size() : end + EventEnd.size();
+    std::string whole = incompleteEvent_.substr(0, cut);
+    incompleteEvent_.erase(0, cut);
+    scanEvents(whole);
     return whole;
 }
 
-void EventSplitter::noteEvents(std::string_view whole)
+void EventSplitter::scanEvents(std::string_view whole)
 {
     std::size_t start = 0;
     while (start < whole.size()) {
@@ -45,14 +45,14 @@
     }
 }
 
-const std::string &EventSplitter::rest() const
+const std::string &EventSplitter::incompleteEvent() const
 {
-    return rest_;
+    return incompleteEvent_;
 }
 
-void EventSplitter::dropRest()
+void EventSplitter::dropIncompleteEvent()
 {
-    rest_.clear();
+    incompleteEvent_.clear();
 }
 
 const std::string &EventSplitter::lastId() const
--- a/src/forwarding/internal/forwardedrequest.cpp
+++ b/src/forwarding/internal/forwardedrequest.cpp
@@ -1,6 +1,6 @@
 #include "forwarding/internal/forwardedrequest.h"
 
-#include "forwarding/internal/forwardinglimits.h"
+#include "forwarding/internal/forwardingconstants.h"
 
 #include <xxhash.h>
 
@@ -13,13 +13,13 @@
 /// A server that takes no connection within this is passed over: many times the round trip between failure domains.
 constexpr Duration ConnectTimeout = std::chrono::milliseconds(400);
 /// A 404 or 401 is given only on knowledge younger than this; older knowledge may lack a new route or key.
-constexpr Duration DenialFreshness = std::chrono::seconds(3);
+constexpr Duration MaxDenialAge = std::chrono::seconds(3);
 /// A VM that has lost the store: the caller's next try reaches another one.
 constexpr Duration StaleRetryAfter = std::chrono::milliseconds(200);
 /// This VM is about to end: any other one takes the request now.
 constexpr Duration DrainingRetryAfter = std::chrono::milliseconds(50);
 /// With less time than this left, a request is not sent once more: no server answers so fast.
-constexpr Duration LeastTimeForSend = std::chrono::milliseconds(20);
+constexpr Duration MinTimeForSend = std::chrono::milliseconds(20);
 
 } // namespace
 
@@ -48,20 +48,20 @@
 {
     exchange_->onGone([weak = weak_from_this()] {
         if (const auto self = weak.lock()) {
-            self->onGone();
+            self->onCallerGone();
         }
     });
-    if (!readAndCheck()) {
+    if (!checkRequest()) {
         return;
     }
     setDeadline();
-    if (!forwarder_.takesWork(deadline_)) {
+    if (!forwarder_.acceptsRequest(deadline_)) {
         refuse(StatusUnavailable, FailureReason::Draining, DrainingRetryAfter);
         return;
     }
     service_ = chooseService();
     forwarder_.budget(service_).earn(service_);
-    tools_.demand->noteAsked(service_, request_.promptTokens, tools_.loop->now());
+    tools_.demand->noteRequest(service_, request_.promptTokens, tools_.loop->now());
     demandNoted_ = true;
     if (tools_.versions) {
         pick_ = tools_.versions->pick(service_, route_->name);
@@ -69,7 +69,7 @@
     dispatch();
 }
 
-bool ForwardedRequest::readAndCheck()
+bool ForwardedRequest::checkRequest()
 {
     request_ = tools_.wire.readRequest(exchange_->head());
     prefixes_ = prefixindex::prefixesOf(request_.prompt);
@@ -87,7 +87,7 @@
     if (route_ && !route_->shares.empty()) {
         return true;
     }
-    if (!tools_.manifests->isFresh(tools_.loop->now(), DenialFreshness)) {
+    if (!tools_.manifests->isFresh(tools_.loop->now(), MaxDenialAge)) {
         refuse(StatusUnavailable, FailureReason::StaleKeys, StaleRetryAfter);
         return false;
     }
@@ -105,14 +105,14 @@
         return true;
     }
     const TimePoint now = tools_.loop->now();
-    if (tools_.settings.strictKeys && !tools_.manifests->isFresh(now, tools_.settings.keysFreshFor)) {
+    if (tools_.settings.strictKeys && !tools_.manifests->isFresh(now, tools_.settings.maxKeyAge)) {
         refuse(StatusUnavailable, FailureReason::StaleKeys, StaleRetryAfter);
         return false;
     }
     if (customer_) {
         return true;
     }
-    if (!tools_.manifests->isFresh(now, DenialFreshness)) {
+    if (!tools_.manifests->isFresh(now, MaxDenialAge)) {
         refuse(StatusUnavailable, FailureReason::StaleKeys, StaleRetryAfter);
         return false;
     }
@@ -136,7 +136,7 @@
     const AllowanceDecision decision = tools_.allowances->take(*customer_, cost());
     if (!decision.isAllowed) {
         logAllowance(decision);
-        refuse(StatusTooMany, FailureReason::OverAllowance, decision.retryAfter);
+        refuse(StatusTooManyRequests, FailureReason::OverAllowance, decision.retryAfter);
         return false;
     }
     allowanceTaken_ = true;
@@ -181,7 +181,7 @@
 
 std::int64_t ForwardedRequest::millisecondsSince(TimePoint since) const
 {
-    return milliseconds(tools_.loop->now() - since);
+    return toMilliseconds(tools_.loop->now() - since);
 }
 
 bool ForwardedRequest::isStream() const
@@ -189,14 +189,14 @@
     return route_->kind == manifest::RouteKind::Stream;
 }
 
-bool ForwardedRequest::streamBegan() const
+bool ForwardedRequest::hasStreamStarted() const
 {
-    return headPassed_;
+    return headSent_;
 }
 
 void ForwardedRequest::dispatch()
 {
-    if (timeLeft() < LeastTimeForSend) {
+    if (timeLeft() < MinTimeForSend) {
         onDeadline();
         return;
     }
@@ -210,7 +210,7 @@
         endWithoutServer(choice);
         return;
     }
-    noteSending(choice.server->server.instance);
+    countSend(choice.server->server.instance);
     send(choice);
 }
 
@@ -221,15 +221,15 @@
         return;
     }
     if (choice.limited > 0) {
-        const Duration back = forwarder_.retryPacer_.next(service_, choice.limitedPerSecond, tools_.loop->now());
+        const Duration back = forwarder_.retryPacer_.nextDelay(service_, choice.limitedPerSecond, tools_.loop->now());
         refuse(StatusUnavailable, FailureReason::ServersLimited, back);
         return;
     }
-    refuse(StatusUnavailable, sends_ == 0 ? FailureReason::NoServer : FailureReason::ServersFull, FullRetryAfter);
+    refuse(StatusUnavailable, sends_ == 0 ? FailureReason::NoServer : FailureReason::ServersFull, ServersFullRetryAfter);
 }
 
 // Counted when a server is decided on, also for a moved run, which reaches it a little later.
-void ForwardedRequest::noteSending(const std::string &instance)
+void ForwardedRequest::countSend(const std::string &instance)
 {
     if (tools_.limits) {
         tools_.limits->noteSent(instance);
@@ -246,7 +246,7 @@
         fields.customer = customer_->name;
     }
     fields.kvSource = kvSource_;
-    fields.kvFetch = choice.fetchFrom;
+    fields.kvFetch = choice.kvFetchFrom;
     fields.lastEventId = splitter_.lastId().empty() ? request_.lastEventId : splitter_.lastId();
     return fields;
 }
@@ -260,9 +260,9 @@
     attempt_->server = server;
     attempt_->sentAt = tools_.loop->now();
     attempt_->lastByteAt = attempt_->sentAt;
-    attempt_->channel = tools_.pool->take(server->server);
-    attempt_->tokensToRead = choice.tokensToRead;
-    tools_.pool->noteSent(server->server.instance, choice.tokensToRead);
+    attempt_->channel = tools_.pool->acquire(server->server);
+    attempt_->prefillTokens = choice.prefillTokens;
+    tools_.pool->noteSent(server->server.instance, choice.prefillTokens);
     tools_.prefixes->noteSent(prefixes_, server->server.instance);
     if (tools_.versions) {
         tools_.versions->noteSent(server->server);
@@ -292,14 +292,14 @@
     if (!attempt_->channel->isConnected()) {
         connectTimer_ = tools_.loop->after(ConnectTimeout, [weak = weak_from_this()] {
             if (const auto self = weak.lock()) {
-                self->onConnectTime();
+                self->onConnectTimeout();
             }
         });
     }
     watchSilence();
 }
 
-void ForwardedRequest::onConnectTime()
+void ForwardedRequest::onConnectTimeout()
 {
     if (attempt_ && !attempt_->channel->isConnected()) {
         onFailure(http1::CallFailure::NotConnected);
--- a/src/forwarding/internal/forwardedrequest.h
+++ b/src/forwarding/internal/forwardedrequest.h
@@ -20,7 +20,7 @@
     ~ForwardedRequest();
     void start();
     /// A backend server is being reclaimed at @p endsAt: if the request runs there, its run is moved before that.
-    void onReclaim(const std::string &instance, TimePoint endsAt);
+    void onServerReclaim(const std::string &instance, TimePoint endsAt);
 
 private:
     /// One send to one backend server.
@@ -34,13 +34,13 @@
         bool hasHead = false;
         bool hasFirstByte = false;
         bool failureNoted = false; ///< A failure, or its silence, has been counted against its server.
-        std::int64_t tokensToRead = 0; ///< Of the prompt, as it was thought when it was sent.
+        std::int64_t prefillTokens = 0; ///< Of the prompt, as it was thought when it was sent.
         TimePoint firstByteAt;
         TimePoint lastByteAt; ///< When it was sent, before the first byte.
     };
 
     ForwardedRequest(Forwarder &forwarder, http1::ExchangePtr exchange);
-    bool readAndCheck();
+    bool checkRequest();
     bool findRoute();
     bool checkKey();
     bool checkAllowance();
@@ -56,66 +56,66 @@
         std::size_t limited = 0; ///< Passed over, since their limits leave no room now.
         double limitedPerSecond = 0; ///< What this VM may send to these in a second.
         std::int64_t cachedTokens = 0; ///< Of the prompt, believed to be in its cache.
-        std::int64_t tokensToRead = 0; ///< Of the prompt: neither cached there nor to be copied.
-        std::string fetchFrom; ///< "address:port" of a server to copy a part of the prompt's KV cache from; empty: none.
+        std::int64_t prefillTokens = 0; ///< Of the prompt: neither cached there nor to be copied.
+        std::string kvFetchFrom; ///< "address:port" of a server to copy a part of the prompt's KV cache from; empty: none.
     };
     Choice chooseServer() const;
     std::vector<directory::ServerPtr> shortList(std::span<const directory::ServerPtr> usable, std::span<const prefixindex::PrefixMatch> matches) const;
     Choice chooseAmong(std::span<const directory::KnownServer *const> servers, std::span<const prefixindex::PrefixMatch> matches) const;
     std::uint64_t salt() const;
     balancing::Candidate candidateOf(const directory::KnownServer &known, std::span<const prefixindex::PrefixMatch> matches) const;
-    bool passesOver(const std::string &instance, Choice &choice) const;
-    void noteSending(const std::string &instance);
+    bool skipIfLimited(const std::string &instance, Choice &choice) const;
+    void countSend(const std::string &instance);
     void endWithoutServer(const Choice &choice);
     std::vector<const directory::KnownServer *> eligibleServers(std::span<const directory::ServerPtr> usable, VersionPick pick) const;
     void noteVersionOutcome(std::optional<Duration> firstByteAfter);
     /// What the servers of the service are believed to keep of the prompt.
-    struct Cached {
+    struct BestCache {
         std::int64_t tokens = 0; ///< The most that one server keeps.
         directory::ServerPtr holder; ///< It; null if none keeps any.
     };
-    bool mayBeSource(const directory::KnownServer &known) const;
-    Cached bestCached(std::span<const prefixindex::PrefixMatch> matches, const std::string &except) const;
-    directory::ServerPtr likelyHolder(const std::string &except) const;
-    void planReading(Choice &choice, std::span<const prefixindex::PrefixMatch> matches) const;
+    bool mayCopyFrom(const directory::KnownServer &known) const;
+    BestCache findBestCache(std::span<const prefixindex::PrefixMatch> matches, const std::string &except) const;
+    directory::ServerPtr likelyCacheHolder(const std::string &except) const;
+    void planPrefill(Choice &choice, std::span<const prefixindex::PrefixMatch> matches) const;
     std::string affinity() const;
     void send(const Choice &choice);
     DispatchFields dispatchFields(const Choice &choice) const;
     void onHead(http1::ResponseHead head);
     void onBody(std::string_view part);
-    void passEvents(std::string_view part);
+    void forwardEvents(std::string_view part);
     void onComplete();
     void onPlainAnswer();
     void onStreamEnd();
     void onNotRun(std::string_view why);
     void onFailure(http1::CallFailure failure);
     void onBroken(std::string_view why);
-    void onConnectTime();
+    void onConnectTimeout();
     Duration silenceLimit() const;
     void watchSilence();
-    void onSilenceTime();
+    void onSilenceTimeout();
     bool isServerSilent() const;
-    void noteEnding(outliers::Ending ending);
+    void noteOutcome(outliers::Ending ending);
     bool mayMove(const std::string &instance) const;
     void startMove();
     void onMoved(const std::optional<std::string> &handle);
-    void continueMoved();
+    void continueAtTarget();
     bool isIdempotent() const;
     bool mayRunAgain() const;
-    bool takeRepeat();
-    void repeat();
+    bool takeRetry();
+    void retry();
     void endAttempt(bool keepChannel);
     void onDeadline();
-    void onGone();
-    void passAnswer();
+    void onCallerGone();
+    void forwardAnswer();
     void refuse(int status, FailureReason reason, Duration retryAfter);
     void fail(int status, FailureReason reason);
     void finish();
     bool isStream() const;
-    bool streamBegan() const;
+    bool hasStreamStarted() const;
     std::int64_t cost() const;
     /// Why a request that failed is not sent once more.
-    FailureReason endReason() const;
+    FailureReason noRetryReason() const;
     void logDispatch(const Choice &choice) const;
     Duration timeLeft() const;
     std::int64_t millisecondsSince(TimePoint since) const;
@@ -150,14 +150,14 @@
         directory::ServerPtr to;
         std::shared_ptr<http1::CallClient> client;
         std::string kvSource; ///< Where the copy came from: "address:port/handle"; empty until the source has answered.
-        bool isDone = false; ///< The source has answered, with a handle or without.
-        bool hasStopped = false; ///< The source has ended its stream.
+        bool hasMoveAnswer = false; ///< The source has answered, with a handle or without.
+        bool hasSourceStopped = false; ///< The source has ended its stream.
     };
     std::optional<Move> move_;
     std::string kvSource_; ///< For the next send.
     TimerId moveTimer_ = 0;
     bool allowanceTaken_ = false;
-    bool headPassed_ = false; ///< The head of a stream's answer has gone to the caller.
+    bool headSent_ = false; ///< The head of a stream's answer has gone to the caller.
     bool usageNoted_ = false;
     bool demandNoted_ = false;
     bool finished_ = false;
--- a/src/forwarding/internal/forwardedrequestanswer.cpp
+++ b/src/forwarding/internal/forwardedrequestanswer.cpp
@@ -1,5 +1,5 @@
 #include "forwarding/internal/forwardedrequest.h"
-#include "forwarding/internal/forwardinglimits.h"
+#include "forwarding/internal/forwardingconstants.h"
 
 namespace cardamomlift::forwarding {
 
@@ -10,9 +10,9 @@
     attempt_->answer = tools_.wire.readAnswer(head);
     attempt_->head = std::move(head);
     const std::string &instance = attempt_->server->server.instance;
-    tools_.pool->noteHeard(instance);
+    tools_.pool->noteActivity(instance);
     if (attempt_->answer.load) {
-        tools_.pool->noteReport(instance, *attempt_->answer.load);
+        tools_.pool->noteLoadReport(instance, *attempt_->answer.load);
     }
     if (tools_.limits) {
         tools_.limits->noteAnswer(instance, attempt_->answer.limit, attempt_->sentAt);
@@ -22,31 +22,31 @@
 void ForwardedRequest::onBody(std::string_view part)
 {
     attempt_->lastByteAt = tools_.loop->now();
-    tools_.pool->noteHeard(attempt_->server->server.instance);
+    tools_.pool->noteActivity(attempt_->server->server.instance);
     if (!attempt_->hasFirstByte) {
         attempt_->hasFirstByte = true;
         attempt_->firstByteAt = attempt_->lastByteAt;
         observeStep("first_byte");
         tools_.demand->noteFirstByte(service_, tools_.loop->now() - exchange_->startedAt(), route_->latencyGoal, tools_.loop->now());
-        tools_.pool->noteFirstByte(attempt_->server->server.instance, attempt_->tokensToRead);
+        tools_.pool->noteFirstByte(attempt_->server->server.instance, attempt_->prefillTokens);
     }
     if (isStream() && attempt_->head.status == StatusOk && attempt_->answer.isSigned) {
-        passEvents(part);
+        forwardEvents(part);
         return;
     }
     attempt_->body += part;
 }
 
-void ForwardedRequest::passEvents(std::string_view part)
+void ForwardedRequest::forwardEvents(std::string_view part)
 {
     const std::string whole = splitter_.feed(part);
     if (whole.empty()) {
         return;
     }
-    if (!headPassed_) {
-        headPassed_ = true;
+    if (!headSent_) {
+        headSent_ = true;
         firstEventAt_ = tools_.loop->now();
-        noteEnding(outliers::Ending::Answered);
+        noteOutcome(outliers::Ending::Answered);
         if (tools_.usage && customer_ && !usageNoted_) {
             usageNoted_ = true;
             tools_.usage->noteStarted(customer_->name);
@@ -72,8 +72,8 @@
 
 void ForwardedRequest::onStreamEnd()
 {
-    const std::string rest = splitter_.rest();
-    if (!headPassed_) {
+    const std::string rest = splitter_.incompleteEvent();
+    if (!headSent_) {
         // An answer without an event is the server's own, whole.
         exchange_->answer(tools_.wire.writeAnswer(attempt_->head), rest);
     } else {
@@ -93,28 +93,28 @@
         tools_.usage->noteStarted(customer_->name);
     }
     const int status = attempt_->head.status;
-    if (status >= StatusOk && status < StatusFirstFailure && !attempt_->answer.isSigned) {
+    if (status >= StatusOk && status < StatusSuccessEnd && !attempt_->answer.isSigned) {
         onBroken("unsigned");
         return;
     }
-    noteEnding(status >= StatusServerError ? outliers::Ending::ServerError : outliers::Ending::Answered);
+    noteOutcome(status >= StatusServerError ? outliers::Ending::ServerError : outliers::Ending::Answered);
     if (status >= StatusServerError) {
         runs_++;
-        if (mayRunAgain() && takeRepeat()) {
+        if (mayRunAgain() && takeRetry()) {
             logAttempt("server_error");
             tried_.insert(attempt_->server->server.instance);
             endAttempt(true);
             tools_.metrics->retried(metrics::RetryReason::ServerFailed);
-            repeat();
+            retry();
             return;
         }
     }
-    passAnswer();
+    forwardAnswer();
 }
 
-void ForwardedRequest::passAnswer()
+void ForwardedRequest::forwardAnswer()
 {
-    if (streamBegan()) {
+    if (hasStreamStarted()) {
         // A resumed stream whose new server failed: the caller has seen a head already.
         fail(StatusBadGateway, FailureReason::StreamBroken);
         return;
@@ -131,16 +131,16 @@
     logAttempt(why);
     tried_.insert(attempt_->server->server.instance);
     endAttempt(true);
-    if (sends_ < MostSends && takeRepeat()) {
+    if (sends_ < MaxSends && takeRetry()) {
         tools_.metrics->retried(metrics::RetryReason::ServerRefused);
-        repeat();
+        retry();
         return;
     }
-    if (streamBegan() || runs_ > 0) {
+    if (hasStreamStarted() || runs_ > 0) {
         fail(StatusBadGateway, FailureReason::OutcomeUnknown);
         return;
     }
-    refuse(StatusUnavailable, FailureReason::ServersFull, FullRetryAfter);
+    refuse(StatusUnavailable, FailureReason::ServersFull, ServersFullRetryAfter);
 }
 
 void ForwardedRequest::onFailure(http1::CallFailure failure)
@@ -152,12 +152,12 @@
         runs_++;
         logAttempt("stopped_for_move");
         endAttempt(false);
-        splitter_.dropRest();
-        move_->hasStopped = true;
-        continueMoved();
+        splitter_.dropIncompleteEvent();
+        move_->hasSourceStopped = true;
+        continueAtTarget();
         return;
     }
-    noteEnding(outliers::Ending::NoAnswer);
+    noteOutcome(outliers::Ending::NoAnswer);
     if (failure == http1::CallFailure::Broken) {
         onBroken("broken");
         return;
@@ -165,16 +165,16 @@
     logAttempt("not_connected");
     tried_.insert(instance);
     endAttempt(false);
-    if (sends_ < MostSends) {
+    if (sends_ < MaxSends) {
         tools_.metrics->retried(metrics::RetryReason::ConnectFailed);
-        repeat();
+        retry();
         return;
     }
-    if (streamBegan() || runs_ > 0) {
+    if (hasStreamStarted() || runs_ > 0) {
         fail(StatusBadGateway, FailureReason::OutcomeUnknown);
         return;
     }
-    refuse(StatusUnavailable, FailureReason::NoServer, FullRetryAfter);
+    refuse(StatusUnavailable, FailureReason::NoServer, ServersFullRetryAfter);
 }
 
 bool ForwardedRequest::isIdempotent() const
@@ -187,7 +187,7 @@
     return isIdempotent() && runs_ < route_->maxAttempts;
 }
 
-bool ForwardedRequest::takeRepeat()
+bool ForwardedRequest::takeRetry()
 {
     return forwarder_.budget(service_).take({service_, true});
 }
@@ -198,16 +198,16 @@
     logAttempt(why);
     tried_.insert(attempt_->server->server.instance);
     endAttempt(false);
-    splitter_.dropRest();
-    if (mayRunAgain() && takeRepeat()) {
-        tools_.metrics->retried(streamBegan() ? metrics::RetryReason::StreamBroken : metrics::RetryReason::ServerFailed);
-        repeat();
+    splitter_.dropIncompleteEvent();
+    if (mayRunAgain() && takeRetry()) {
+        tools_.metrics->retried(hasStreamStarted() ? metrics::RetryReason::StreamBroken : metrics::RetryReason::ServerFailed);
+        retry();
         return;
     }
-    fail(StatusBadGateway, streamBegan() ? FailureReason::StreamBroken : endReason());
+    fail(StatusBadGateway, hasStreamStarted() ? FailureReason::StreamBroken : noRetryReason());
 }
 
-FailureReason ForwardedRequest::endReason() const
+FailureReason ForwardedRequest::noRetryReason() const
 {
     if (!isIdempotent()) {
         return FailureReason::OutcomeUnknown;
@@ -215,7 +215,7 @@
     return mayRunAgain() ? FailureReason::RetryBudget : FailureReason::AttemptsUsed;
 }
 
-void ForwardedRequest::repeat()
+void ForwardedRequest::retry()
 {
     dispatch();
 }
@@ -229,7 +229,7 @@
     }
     const std::string instance = attempt_->server->server.instance;
     if (!attempt_->hasFirstByte) {
-        tools_.pool->noteFirstByte(instance, attempt_->tokensToRead);
+        tools_.pool->noteFirstByte(instance, attempt_->prefillTokens);
     }
     tools_.pool->noteEnded(instance);
     if (tools_.versions) {
@@ -238,7 +238,7 @@
     auto channel = std::move(attempt_->channel);
     attempt_.reset();
     if (keepChannel) {
-        tools_.pool->giveBack(instance, std::move(channel));
+        tools_.pool->release(instance, std::move(channel));
         return;
     }
     tools_.pool->discard(instance, std::move(channel));
--- a/src/forwarding/internal/forwardedrequestchoice.cpp
+++ b/src/forwarding/internal/forwardedrequestchoice.cpp
@@ -1,7 +1,7 @@
 #include "balancing/choose.h"
 #include "balancing/shortlist.h"
 #include "forwarding/internal/forwardedrequest.h"
-#include "forwarding/internal/forwardinglimits.h"
+#include "forwarding/internal/forwardingconstants.h"
 
 #include <xxhash.h>
 
@@ -12,7 +12,7 @@
 namespace {
 
 /// Copies of fewer tokens than this are not asked for: reading them takes some 25 ms, and the call to the other server 5 ms.
-constexpr std::int64_t LeastFetched = 1000;
+constexpr std::int64_t MinFetchTokens = 1000;
 
 } // namespace
 
@@ -26,22 +26,22 @@
 }
 
 // A copy from a server that does not answer holds the request up until its time limit.
-bool ForwardedRequest::mayBeSource(const directory::KnownServer &known) const
+bool ForwardedRequest::mayCopyFrom(const directory::KnownServer &known) const
 {
     const bool mayServe = !tools_.versions || tools_.versions->eligibility(known.server, VersionPick::Usual) != Eligibility::None;
     return mayServe && known.server.service == service_ && !known.unlistedAt && !tools_.outliers->isOutlier(known.hash, service_);
 }
 
 // A leaving server is a good source while it lasts: it keeps what its successors lack.
-ForwardedRequest::Cached ForwardedRequest::bestCached(std::span<const prefixindex::PrefixMatch> matches, const std::string &except) const
+ForwardedRequest::BestCache ForwardedRequest::findBestCache(std::span<const prefixindex::PrefixMatch> matches, const std::string &except) const
 {
-    Cached best;
+    BestCache best;
     for (const prefixindex::PrefixMatch &match : matches) {
         if (match.tokens == 0 || match.tokens < best.tokens) {
             continue;
         }
         directory::ServerPtr known = tools_.directory->findHashed(match.server);
-        if (!known || known->server.instance == except || !mayBeSource(*known)) {
+        if (!known || known->server.instance == except || !mayCopyFrom(*known)) {
             continue;
         }
         // Of equal ones the first by instance, so that it does not depend on the hashes.
@@ -111,7 +111,7 @@
     return XXH3_64bits(request_.id.data(), request_.id.size());
 }
 
-bool ForwardedRequest::passesOver(const std::string &instance, Choice &choice) const
+bool ForwardedRequest::skipIfLimited(const std::string &instance, Choice &choice) const
 {
     if (!tools_.limits || tools_.limits->hasRoom(instance)) {
         return false;
@@ -141,7 +141,7 @@
     std::vector<balancing::Candidate> candidates;
     candidates.reserve(servers.size());
     for (const directory::KnownServer *server : servers) {
-        if (passesOver(server->server.instance, choice)) {
+        if (skipIfLimited(server->server.instance, choice)) {
             continue;
         }
         candidates.push_back(candidateOf(*server, matches));
@@ -152,20 +152,20 @@
     input.zone = tools_.settings.zone;
     input.affinity = shared;
     input.promptTokens = request_.promptTokens;
-    input.fetchableTokens = bestCached(matches, {}).tokens;
+    input.fetchableTokens = findBestCache(matches, {}).tokens;
     input.salt = salt();
     const auto chosen = balancing::choose(candidates, input, {}, tools_.loop->now());
     choice.candidates = candidates.size();
     if (chosen) {
         choice.server = tools_.directory->find(candidates[*chosen].server->server.instance);
         choice.cachedTokens = candidates[*chosen].cachedTokens;
-        planReading(choice, matches);
+        planPrefill(choice, matches);
     }
     return choice;
 }
 
 // After a restart this VM knows of no holder, but requests have gone to their homes before: the best other one is asked.
-directory::ServerPtr ForwardedRequest::likelyHolder(const std::string &except) const
+directory::ServerPtr ForwardedRequest::likelyCacheHolder(const std::string &except) const
 {
     const std::string shared = affinity();
     const balancing::RendezvousRanker ranker(shared);
@@ -176,7 +176,7 @@
             continue;
         }
         const std::uint64_t rank = ranker.rank(instance);
-        if ((!best || rank > bestRank) && mayBeSource(*known)) {
+        if ((!best || rank > bestRank) && mayCopyFrom(*known)) {
             best = known;
             bestRank = rank;
         }
@@ -184,18 +184,18 @@
     return best;
 }
 
-void ForwardedRequest::planReading(Choice &choice, std::span<const prefixindex::PrefixMatch> matches) const
+void ForwardedRequest::planPrefill(Choice &choice, std::span<const prefixindex::PrefixMatch> matches) const
 {
     std::int64_t known = choice.cachedTokens;
-    const Cached elsewhere = bestCached(matches, choice.server->server.instance);
-    if (elsewhere.tokens - choice.cachedTokens >= LeastFetched) {
-        choice.fetchFrom = http1::formatEndpoint(elsewhere.holder->server.endpoint);
+    const BestCache elsewhere = findBestCache(matches, choice.server->server.instance);
+    if (elsewhere.tokens - choice.cachedTokens >= MinFetchTokens) {
+        choice.kvFetchFrom = http1::formatEndpoint(elsewhere.holder->server.endpoint);
         known = elsewhere.tokens;
-    } else if (choice.cachedTokens == 0 && !prefixes_.empty() && prefixes_.back().tokens >= LeastFetched) {
-        const directory::ServerPtr holder = likelyHolder(choice.server->server.instance);
-        choice.fetchFrom = holder ? http1::formatEndpoint(holder->server.endpoint) : std::string();
+    } else if (choice.cachedTokens == 0 && !prefixes_.empty() && prefixes_.back().tokens >= MinFetchTokens) {
+        const directory::ServerPtr holder = likelyCacheHolder(choice.server->server.instance);
+        choice.kvFetchFrom = holder ? http1::formatEndpoint(holder->server.endpoint) : std::string();
     }
-    choice.tokensToRead = std::max<std::int64_t>(0, request_.promptTokens - known);
+    choice.prefillTokens = std::max<std::int64_t>(0, request_.promptTokens - known);
 }
 
 } // namespace cardamomlift::forwarding
--- a/src/forwarding/internal/forwardedrequestend.cpp
+++ b/src/forwarding/internal/forwardedrequestend.cpp
@@ -1,5 +1,5 @@
 #include "forwarding/internal/forwardedrequest.h"
-#include "forwarding/internal/forwardinglimits.h"
+#include "forwarding/internal/forwardingconstants.h"
 
 #include <fmt/format.h>
 
@@ -45,10 +45,10 @@
         fail(StatusGatewayTimeout, FailureReason::OutOfTime);
         return;
     }
-    refuse(StatusUnavailable, FailureReason::OutOfTime, FullRetryAfter);
+    refuse(StatusUnavailable, FailureReason::OutOfTime, ServersFullRetryAfter);
 }
 
-void ForwardedRequest::onGone()
+void ForwardedRequest::onCallerGone()
 {
     if (finished_) {
         return;
@@ -83,10 +83,10 @@
             {Attribute::Route, route_ ? std::string_view(route_->name) : std::string_view()},
             {Attribute::Customer, customer_ ? std::string_view(customer_->name) : std::string_view()},
             {Attribute::Version, static_cast<std::int64_t>(manifest_ ? manifest_->manifest().version : 0)},
-            {Attribute::AgeMs, age ? milliseconds(*age) : std::int64_t(-1)},
+            {Attribute::AgeMs, age ? toMilliseconds(*age) : std::int64_t(-1)},
             {Attribute::Attempt, std::int64_t(sends_)},
             {Attribute::TookMs, millisecondsSince(exchange_->startedAt())},
-            {Attribute::RetryAfterMs, milliseconds(retryAfter)}});
+            {Attribute::RetryAfterMs, toMilliseconds(retryAfter)}});
     exchange_->answer(std::move(head), {});
     finish();
 }
@@ -97,7 +97,7 @@
     tools_.log->write(Event::RequestFailed,
         {{Attribute::Request, request_.id},
             {Attribute::Reason, reasonName(reason)},
-            {Attribute::Status, std::int64_t(streamBegan() ? 0 : status)},
+            {Attribute::Status, std::int64_t(hasStreamStarted() ? 0 : status)},
             {Attribute::Route, route_->name},
             {Attribute::Attempt, std::int64_t(sends_)},
             {Attribute::Events, static_cast<std::int64_t>(splitter_.events())},
@@ -105,7 +105,7 @@
     if (attempt_) {
         endAttempt(false);
     }
-    if (streamBegan()) {
+    if (hasStreamStarted()) {
         exchange_->breakOff();
         finish();
         return;
@@ -159,9 +159,9 @@
             {Attribute::Open, std::int64_t(load.localOpenRequests)},
             {Attribute::Tokens, request_.promptTokens},
             {Attribute::Events, static_cast<std::int64_t>(splitter_.events())},
-            {Attribute::FirstEventMs, headPassed_ ? milliseconds(firstEventAt_ - exchange_->startedAt()) : std::int64_t(-1)},
+            {Attribute::FirstEventMs, headSent_ ? toMilliseconds(firstEventAt_ - exchange_->startedAt()) : std::int64_t(-1)},
             {Attribute::TookMs, millisecondsSince(exchange_->startedAt())},
-            {Attribute::LeftMs, milliseconds(timeLeft())}});
+            {Attribute::LeftMs, toMilliseconds(timeLeft())}});
 }
 
 void ForwardedRequest::logDispatch(const Choice &choice) const
@@ -189,15 +189,15 @@
             {Attribute::Reported, std::int64_t(load.reportedAt ? load.reportedRequests : -1)},
             {Attribute::WaitingTokens, load.localWaitingTokens},
             {Attribute::Cached, choice.cachedTokens},
-            {Attribute::ToRead, choice.tokensToRead},
-            {Attribute::Source, choice.fetchFrom},
+            {Attribute::ToRead, choice.prefillTokens},
+            {Attribute::Source, choice.kvFetchFrom},
             {Attribute::ReportAgeMs, load.reportedAt ? millisecondsSince(*load.reportedAt) : std::int64_t(-1)},
             {Attribute::Version, static_cast<std::int64_t>(manifest_->manifest().version)},
-            {Attribute::AgeMs, age ? milliseconds(*age) : std::int64_t(-1)},
+            {Attribute::AgeMs, age ? toMilliseconds(*age) : std::int64_t(-1)},
             {Attribute::Era, static_cast<std::int64_t>(tools_.directory->listVersion().era)},
             {Attribute::ListVersion, static_cast<std::int64_t>(tools_.directory->listVersion().number)},
-            {Attribute::ListAgeMs, listAge ? milliseconds(*listAge) : std::int64_t(-1)},
-            {Attribute::LeftMs, milliseconds(timeLeft())}});
+            {Attribute::ListAgeMs, listAge ? toMilliseconds(*listAge) : std::int64_t(-1)},
+            {Attribute::LeftMs, toMilliseconds(timeLeft())}});
 }
 
 void ForwardedRequest::logAllowance(const AllowanceDecision &decision) const
--- a/src/forwarding/internal/forwardedrequestmove.cpp
+++ b/src/forwarding/internal/forwardedrequestmove.cpp
@@ -1,6 +1,6 @@
 #include "balancing/choose.h"
 #include "forwarding/internal/forwardedrequest.h"
-#include "forwarding/internal/forwardinglimits.h"
+#include "forwarding/internal/forwardingconstants.h"
 
 #include <algorithm>
 
@@ -20,7 +20,7 @@
 
 } // namespace
 
-void ForwardedRequest::onReclaim(const std::string &instance, TimePoint endsAt)
+void ForwardedRequest::onServerReclaim(const std::string &instance, TimePoint endsAt)
 {
     if (!mayMove(instance)) {
         return;
@@ -49,10 +49,10 @@
 {
     tried_.insert(attempt_->server->server.instance);
     const auto to = chooseServer().server;
-    if (!to || !takeRepeat()) {
+    if (!to || !takeRetry()) {
         return;
     }
-    noteSending(to->server.instance);
+    countSend(to->server.instance);
     move_ = Move{attempt_->server, to, nullptr, {}, false, false};
     move_->client = http1::CallClient::create(*tools_.loop, attempt_->server->server.endpoint, {}, MoveAnswerLimits);
     std::string body;
@@ -72,7 +72,7 @@
 
 void ForwardedRequest::onMoved(const std::optional<std::string> &handle)
 {
-    move_->isDone = true;
+    move_->hasMoveAnswer = true;
     if (handle) {
         move_->kvSource = http1::formatEndpoint(move_->from->server.endpoint) + "/" + *handle;
     }
@@ -82,20 +82,20 @@
         move_.reset();
         return;
     }
-    continueMoved();
+    continueAtTarget();
 }
 
 // Both must be known: that the source has stopped, with all it had made passed on, and where its memory is.
-void ForwardedRequest::continueMoved()
+void ForwardedRequest::continueAtTarget()
 {
-    if (!move_->isDone || !move_->hasStopped) {
+    if (!move_->hasMoveAnswer || !move_->hasSourceStopped) {
         return;
     }
     const Move move = std::move(*move_);
     move_.reset();
     if (move.kvSource.empty()) {
         runs_++;
-        fail(StatusBadGateway, streamBegan() ? FailureReason::StreamBroken : FailureReason::OutcomeUnknown);
+        fail(StatusBadGateway, hasStreamStarted() ? FailureReason::StreamBroken : FailureReason::OutcomeUnknown);
         return;
     }
     kvSource_ = move.kvSource;
--- a/src/forwarding/internal/forwardedrequestsilence.cpp
+++ b/src/forwarding/internal/forwardedrequestsilence.cpp
@@ -1,5 +1,5 @@
 #include "forwarding/internal/forwardedrequest.h"
-#include "forwarding/internal/forwardinglimits.h"
+#include "forwarding/internal/forwardingconstants.h"
 
 #include <algorithm>
 
@@ -11,23 +11,23 @@
 using eventlog::Event;
 
 /// A server is asked about after this multiple of what its route promises: an answer that late has missed its goal anyway.
-constexpr int GoalsOfSilence = 2;
-constexpr int PausesOfSilence = 2;
+constexpr int LatencyGoalFactor = 2;
+constexpr int PauseGoalFactor = 2;
 /// Shorter silences come with lost packets, which are sent again after 200 ms and more.
-constexpr Duration LeastSilence = std::chrono::milliseconds(300);
-constexpr Duration MostSilence = std::chrono::milliseconds(2500);
+constexpr Duration MinSilence = std::chrono::milliseconds(300);
+constexpr Duration MaxSilence = std::chrono::milliseconds(2500);
 /// A timer that is late by more tells that the process was suspended or starved.
-constexpr Duration LateTimer = std::chrono::milliseconds(200);
+constexpr Duration SuspensionThreshold = std::chrono::milliseconds(200);
 /// Where the route promises nothing.
-constexpr Duration UsualSilence = std::chrono::milliseconds(1500);
+constexpr Duration DefaultSilence = std::chrono::milliseconds(1500);
 
 } // namespace
 
 Duration ForwardedRequest::silenceLimit() const
 {
     const bool waitsForFirst = !attempt_->hasFirstByte;
-    const Duration promised = waitsForFirst ? route_->latencyGoal * GoalsOfSilence : route_->pauseGoal * PausesOfSilence;
-    return promised.count() <= 0 ? UsualSilence : std::clamp(promised, LeastSilence, MostSilence);
+    const Duration promised = waitsForFirst ? route_->latencyGoal * LatencyGoalFactor : route_->pauseGoal * PauseGoalFactor;
+    return promised.count() <= 0 ? DefaultSilence : std::clamp(promised, MinSilence, MaxSilence);
 }
 
 void ForwardedRequest::watchSilence()
@@ -39,7 +39,7 @@
     silenceDueAt_ = now + (left > Duration(0) ? left : silenceLimit());
     silenceTimer_ = tools_.loop->after(silenceDueAt_ - now, [weak = weak_from_this()] {
         if (const auto self = weak.lock()) {
-            self->onSilenceTime();
+            self->onSilenceTimeout();
         }
     });
 }
@@ -47,19 +47,19 @@
 // Nothing on any channel: a server that answers others is busy with this request, or its answer is lost on the way.
 bool ForwardedRequest::isServerSilent() const
 {
-    const auto heardAt = tools_.pool->heardAt(attempt_->server->server.instance);
-    return !heardAt || tools_.loop->now() - *heardAt >= silenceLimit();
+    const auto lastActivityAt = tools_.pool->lastActivityAt(attempt_->server->server.instance);
+    return !lastActivityAt || tools_.loop->now() - *lastActivityAt >= silenceLimit();
 }
 
 // A request that may run again goes elsewhere. Any other waits for its answer until its time is over: silence proves
 // nothing, and the answer may still come.
-void ForwardedRequest::onSilenceTime()
+void ForwardedRequest::onSilenceTimeout()
 {
     if (!attempt_ || finished_ || move_) {
         return;
     }
-    if (tools_.loop->now() - silenceDueAt_ > LateTimer) {
-        // NOTE This process stood still: what came meanwhile is still unread.
+    if (tools_.loop->now() - silenceDueAt_ > SuspensionThreshold) {
+        // NOTE This process pausedFor still: what came meanwhile is still unread.
         attempt_->lastByteAt = tools_.loop->now();
     }
     const bool isDue = tools_.loop->now() - attempt_->lastByteAt >= silenceLimit();
@@ -74,9 +74,9 @@
             {Attribute::Events, static_cast<std::int64_t>(splitter_.events())},
             {Attribute::Attempt, std::int64_t(sends_)}});
     tools_.metrics->add("server_silences_total");
-    noteEnding(outliers::Ending::NoAnswer);
+    noteOutcome(outliers::Ending::NoAnswer);
     runs_++;
-    const bool goesElsewhere = mayRunAgain() && timeLeft() >= silenceLimit() && takeRepeat();
+    const bool goesElsewhere = mayRunAgain() && timeLeft() >= silenceLimit() && takeRetry();
     if (!goesElsewhere) {
         runs_--;
         return;
@@ -84,12 +84,12 @@
     logAttempt("silent");
     tried_.insert(attempt_->server->server.instance);
     endAttempt(false);
-    splitter_.dropRest();
+    splitter_.dropIncompleteEvent();
     tools_.metrics->retried(metrics::RetryReason::ServerSilent);
-    repeat();
+    retry();
 }
 
-void ForwardedRequest::noteEnding(outliers::Ending ending)
+void ForwardedRequest::noteOutcome(outliers::Ending ending)
 {
     const bool isFailure = ending == outliers::Ending::NoAnswer;
     if (isFailure && attempt_->failureNoted) {
--- a/src/forwarding/internal/forwarder.cpp
+++ b/src/forwarding/internal/forwarder.cpp
@@ -10,14 +10,14 @@
 
 /// How long after the notice requests are taken whatever they last: callers learn of it within this, and nearly all
 /// streams begun by then end within the grace time.
-constexpr Duration TakesAllFor = std::chrono::milliseconds(2500);
+constexpr Duration AcceptAllPeriod = std::chrono::milliseconds(2500);
 /// A reclaimable server that drains is gone after this at the earliest: the platform gives two to three seconds.
-constexpr Duration LeastNotice = std::chrono::milliseconds(2000);
+constexpr Duration MinReclaimNotice = std::chrono::milliseconds(2000);
 /// A process begins with this part of the repeats that it may save up, and is given the rest over a window: a VM that is restarted
 /// again and again within one window then adds less than one more full stock to what all VMs repeat.
-constexpr double StartPart = 0.25;
+constexpr double InitialGrantFraction = 0.25;
 /// What a VM may save up while it does not know how many share the bound.
-constexpr double RepeatsWhileAlone = 1;
+constexpr double MinSavedRetries = 1;
 
 } // namespace
 
@@ -32,22 +32,22 @@
     std::shared_ptr<Forwarder> forwarder(new Forwarder(std::move(tools)));
     forwarder->tools_->directory->onLeaving([weak = std::weak_ptr<Forwarder>(forwarder)](const directory::ServerPtr &server) {
         if (const auto self = weak.lock()) {
-            self->onLeaving(server);
+            self->onServerLeaving(server);
         }
     });
     return forwarder;
 }
 
-void Forwarder::onLeaving(const directory::ServerPtr &server)
+void Forwarder::onServerLeaving(const directory::ServerPtr &server)
 {
     const directory::BackendServer &leaving = server->server;
     if (!leaving.isReclaimable || leaving.state != directory::ServerState::Draining) {
         return;
     }
     // The list does not always say when.
-    const TimePoint endsAt = leaving.endsAt.value_or(tools_->loop->now() + LeastNotice);
+    const TimePoint endsAt = leaving.endsAt.value_or(tools_->loop->now() + MinReclaimNotice);
     for (const auto &[key, request] : open_) {
-        request->onReclaim(leaving.instance, endsAt);
+        request->onServerReclaim(leaving.instance, endsAt);
     }
 }
 
@@ -58,7 +58,7 @@
             continue;
         }
         for (const auto &[key, request] : open_) {
-            request->onReclaim(instance, stopAt);
+            request->onServerReclaim(instance, stopAt);
         }
     }
 }
@@ -77,38 +77,38 @@
 
 void Forwarder::beginDrain(TimePoint end)
 {
-    drainBegan_ = tools_->loop->now();
-    drainEnd_ = end;
+    drainStartedAt_ = tools_->loop->now();
+    drainEndsAt_ = end;
 }
 
-bool Forwarder::takesWork(TimePoint deadline) const
+bool Forwarder::acceptsRequest(TimePoint deadline) const
 {
-    return !drainBegan_ || tools_->loop->now() - *drainBegan_ < TakesAllFor || deadline < drainEnd_;
+    return !drainStartedAt_ || tools_->loop->now() - *drainStartedAt_ < AcceptAllPeriod || deadline < drainEndsAt_;
 }
 
 // Half of an even part: as many VMs again may start within a window, each with a stock of its own.
-double Forwarder::mostRepeats() const
+double Forwarder::maxSavedRetries() const
 {
     const auto count = tools_->vmCount();
     if (!count) {
-        return RepeatsWhileAlone;
+        return MinSavedRetries;
     }
-    return std::max(RepeatsWhileAlone, tools_->settings.retrySlack / (2.0 * static_cast<double>(*count)));
+    return std::max(MinSavedRetries, tools_->settings.retrySlack / (2.0 * static_cast<double>(*count)));
 }
 
-double Forwarder::grantedPart() const
+double Forwarder::grantedFraction() const
 {
     const std::chrono::duration<double> age = tools_->loop->now() - startedAt_;
-    return std::clamp(age / std::chrono::duration<double>(tools_->settings.retryWindow), StartPart, 1.0);
+    return std::clamp(age / std::chrono::duration<double>(tools_->settings.retryWindow), InitialGrantFraction, 1.0);
 }
 
 void Forwarder::tick()
 {
-    const double most = mostRepeats();
-    const double granted = most * grantedPart();
+    const double most = maxSavedRetries();
+    const double granted = most * grantedFraction();
     for (auto &[service, budget] : budgets_) {
-        budget.repeats.setMost(most);
-        budget.repeats.add(std::max(0.0, granted - budget.granted));
+        budget.retries.setMost(most);
+        budget.retries.add(std::max(0.0, granted - budget.granted));
         budget.granted = std::max(budget.granted, granted);
     }
 }
@@ -122,13 +122,13 @@
 {
     const auto found = budgets_.find(service);
     if (found != budgets_.end()) {
-        return found->second.repeats;
+        return found->second.retries;
     }
-    const double most = mostRepeats();
-    const double granted = most * grantedPart();
+    const double most = maxSavedRetries();
+    const double granted = most * grantedFraction();
     const double customerMost = tools_->settings.retrySlack;
-    auto repeats = retry::RetryBudget::create({tools_->settings.retryRatio, most, granted, 0, customerMost});
-    return budgets_.emplace(service, ServiceBudget{std::move(repeats), granted}).first->second.repeats;
+    auto retries = retry::RetryBudget::create({tools_->settings.retryRatio, most, granted, 0, customerMost});
+    return budgets_.emplace(service, ServiceBudget{std::move(retries), granted}).first->second.retries;
 }
 
 // Freed by the loop: the request is in the middle of telling us.
--- a/src/forwarding/internal/forwardinglimits.h
+++ b/src/forwarding/internal/forwardingconstants.h
@@ -8,22 +8,22 @@
 namespace cardamomlift::forwarding {
 
 inline constexpr int StatusOk = 200;
-inline constexpr int StatusFirstFailure = 300;
+inline constexpr int StatusSuccessEnd = 300;
 inline constexpr int StatusUnauthorized = 401;
 inline constexpr int StatusNotFound = 404;
-inline constexpr int StatusTooMany = 429;
+inline constexpr int StatusTooManyRequests = 429;
 inline constexpr int StatusServerError = 500;
 inline constexpr int StatusBadGateway = 502;
 inline constexpr int StatusUnavailable = 503;
 inline constexpr int StatusGatewayTimeout = 504;
 
 /// When servers are full or none is known: about the time in which a wave of requests has been worked off.
-inline constexpr Duration FullRetryAfter = std::chrono::milliseconds(500);
+inline constexpr Duration ServersFullRetryAfter = std::chrono::milliseconds(500);
 /// Sends of one request that servers may refuse or not take before it is given up.
-inline constexpr int MostSends = 4;
+inline constexpr int MaxSends = 4;
 
 /// Whole milliseconds, for log lines.
-inline std::int64_t milliseconds(Duration duration)
+inline std::int64_t toMilliseconds(Duration duration)
 {
     return std::chrono::duration_cast<std::chrono::milliseconds>(duration).count();
 }
--- a/src/forwarding/internal/peerbacklog.cpp
+++ b/src/forwarding/internal/peerbacklog.cpp
@@ -7,14 +7,14 @@
 namespace {
 
 /// What an engine reads of waiting prompts in a second. Only how fast old news fades depends on it.
-constexpr double ReadPerSecond = 40'000;
+constexpr double PrefillTokensPerSecond = 40'000;
 constexpr double MicrosecondsPerSecond = 1e6;
 
 } // namespace
 
-void PeerBacklog::drop(const std::string &vm)
+void PeerBacklog::dropReport(const std::string &vm)
 {
-    for (const std::uint64_t server : toldBy_[vm]) {
+    for (const std::uint64_t server : serversByVm_[vm]) {
         const auto found = servers_.find(server);
         if (found == servers_.end()) {
             continue;
@@ -24,15 +24,15 @@
             servers_.erase(found);
         }
     }
-    toldBy_.erase(vm);
+    serversByVm_.erase(vm);
 }
 
 void PeerBacklog::update(const std::string &vm, std::span<const presence::ServerWork> works, TimePoint now)
 {
-    drop(vm);
+    dropReport(vm);
     for (const presence::ServerWork &work : works) {
         servers_[work.server][vm] = {work.waitingTokens, now};
-        toldBy_[vm].push_back(work.server);
+        serversByVm_[vm].push_back(work.server);
     }
 }
 
@@ -44,7 +44,7 @@
     }
     std::int64_t sum = 0;
     for (const auto &[vm, told] : found->second) {
-        const double read = static_cast<double>((now - told.at).count()) / MicrosecondsPerSecond * ReadPerSecond;
+        const double read = static_cast<double>((now - told.at).count()) / MicrosecondsPerSecond * PrefillTokensPerSecond;
         sum += std::max<std::int64_t>(0, told.tokens - static_cast<std::int64_t>(read));
     }
     return sum;
--- a/src/forwarding/internal/retrypacer.cpp
+++ b/src/forwarding/internal/retrypacer.cpp
@@ -7,18 +7,18 @@
 namespace {
 
 /// A return sooner than this meets the same state.
-constexpr Duration LeastReturn = std::chrono::milliseconds(250);
+constexpr Duration MinDelay = std::chrono::milliseconds(250);
 /// In more time than this the limits have likely changed, or servers have been added.
-constexpr Duration MostReturn = std::chrono::seconds(8);
+constexpr Duration MaxDelay = std::chrono::seconds(8);
 constexpr double MicrosecondsPerSecond = 1e6;
 
 } // namespace
 
-Duration RetryPacer::next(const std::string &service, double perSecond, TimePoint now)
+Duration RetryPacer::nextDelay(const std::string &service, double perSecond, TimePoint now)
 {
-    const double gap = std::min(MicrosecondsPerSecond / std::max(perSecond, 1e-3), static_cast<double>(MostReturn.count()));
-    TimePoint &last = last_[service];
-    last = std::clamp(last + Duration(static_cast<std::int64_t>(gap)), now + LeastReturn, now + MostReturn);
+    const double gap = std::min(MicrosecondsPerSecond / std::max(perSecond, 1e-3), static_cast<double>(MaxDelay.count()));
+    TimePoint &last = lastReturn_[service];
+    last = std::clamp(last + Duration(static_cast<std::int64_t>(gap)), now + MinDelay, now + MaxDelay);
     return last - now;
 }
 
--- a/src/forwarding/internal/routegateway.cpp
+++ b/src/forwarding/internal/routegateway.cpp
@@ -17,14 +17,14 @@
 /// timers.
 constexpr Duration KeyMargin = std::chrono::milliseconds(400);
 /// The balancer takes a VM out after two misses a second apart; until then new connections come.
-constexpr Duration BalancerNotices = std::chrono::milliseconds(2600);
+constexpr Duration BalancerRemovalTime = std::chrono::milliseconds(2600);
 /// The end of the process, and of answers that are still open, comes this long before it would be killed.
 constexpr Duration GraceMargin = std::chrono::milliseconds(700);
 constexpr Duration DrainCheckPeriod = std::chrono::milliseconds(100);
 /// Descriptors left for channels to backend servers, the store, listeners and files.
-constexpr std::size_t OtherDescriptors = 1000;
+constexpr std::size_t ReservedDescriptors = 1000;
 /// Of the memory of the process, request bodies may take this part; the program and its channels need the rest.
-constexpr std::size_t BodyMemoryPart = 4;
+constexpr std::size_t BodyMemoryDivisor = 4;
 
 http1::ResponseHead statusHead(int status)
 {
@@ -40,7 +40,7 @@
     ForwardingSettings result;
     result.zone = zone;
     result.strictKeys = settings.strictKeys;
-    result.keysFreshFor = settings.keyRevocation - KeyMargin;
+    result.maxKeyAge = settings.keyRevocation - KeyMargin;
     result.retryRatio = settings.retryRatio;
     result.retrySlack = settings.retrySlack;
     return result;
@@ -99,8 +99,8 @@
 void RouteGateway::applyLimits()
 {
     http1::ServerLimits limits;
-    limits.connections = tools_.settings.descriptors > OtherDescriptors * 2 ? tools_.settings.descriptors - OtherDescriptors : OtherDescriptors;
-    limits.bodyBytesHeld = tools_.settings.memoryMegabytes * (1u << 20) / BodyMemoryPart;
+    limits.connections = tools_.settings.descriptors > ReservedDescriptors * 2 ? tools_.settings.descriptors - ReservedDescriptors : ReservedDescriptors;
+    limits.bodyBytesHeld = tools_.settings.memoryMegabytes * (1u << 20) / BodyMemoryDivisor;
     if (const auto current = tools_.manifests->current()) {
         const manifest::CallerLimits &declared = current->manifest().limits;
         limits.read = {declared.headerBytes, declared.bodyBytes};
@@ -145,18 +145,18 @@
         return;
     }
     draining_ = true;
-    drained_ = std::move(done);
-    drainBegan_ = tools_.loop->now();
+    onDrained_ = std::move(done);
+    drainStartedAt_ = tools_.loop->now();
     callers_->beginClosing();
-    tools_.forwarder->beginDrain(drainBegan_ + tools_.settings.grace - GraceMargin);
+    tools_.forwarder->beginDrain(drainStartedAt_ + tools_.settings.grace - GraceMargin);
     tools_.log->write(Event::Stopping, {{Attribute::Open, static_cast<std::int64_t>(callers_->openExchanges())}});
     drainTimer_ = tools_.loop->every(DrainCheckPeriod, [this] { checkDrained(); });
 }
 
 void RouteGateway::checkDrained()
 {
-    const Duration since = tools_.loop->now() - drainBegan_;
-    const bool isIdle = callers_->openExchanges() == 0 && since >= BalancerNotices;
+    const Duration since = tools_.loop->now() - drainStartedAt_;
+    const bool isIdle = callers_->openExchanges() == 0 && since >= BalancerRemovalTime;
     if (!isIdle && since < tools_.settings.grace - GraceMargin) {
         return;
     }
@@ -164,7 +164,7 @@
     // NOTE The loop goes on for a turn or two: a request that is read now would be sent on and cut.
     callers_->stopReading();
     tools_.log->write(Event::Stopped, {{Attribute::Open, static_cast<std::int64_t>(callers_->openExchanges())}});
-    drained_();
+    onDrained_();
 }
 
 } // namespace cardamomlift::forwarding
--- a/src/forwarding/internal/serverpool.cpp
+++ b/src/forwarding/internal/serverpool.cpp
@@ -10,7 +10,7 @@
 /// than a caller of the shortest route waits.
 constexpr Duration UnackedTimeout = std::chrono::milliseconds(1000);
 /// A silent channel is probed after this; with two probes a dead server is known within three seconds.
-constexpr Duration ProbeAfter = std::chrono::seconds(1);
+constexpr Duration KeepAliveIdle = std::chrono::seconds(1);
 /// Bounds of a server's answer: a plain one is held whole.
 constexpr http1::ReadLimits AnswerLimits{65536, 16u << 20};
 
@@ -27,7 +27,7 @@
     return std::shared_ptr<ServerPool>(new ServerPool(loop, std::move(directory)));
 }
 
-std::shared_ptr<http1::BackendChannel> ServerPool::take(const directory::BackendServer &server)
+std::shared_ptr<http1::BackendChannel> ServerPool::acquire(const directory::BackendServer &server)
 {
     ServerEntry &entry = entries_[server.instance];
     while (!entry.idle.empty()) {
@@ -43,11 +43,11 @@
     entry.channels++;
     http1::SocketOptions options;
     options.unackedTimeout = UnackedTimeout;
-    options.keepAlive = ProbeAfter;
+    options.keepAlive = KeepAliveIdle;
     return http1::BackendChannel::connect(loop_, server.endpoint, options, AnswerLimits);
 }
 
-void ServerPool::giveBack(const std::string &instance, std::shared_ptr<http1::BackendChannel> channel)
+void ServerPool::release(const std::string &instance, std::shared_ptr<http1::BackendChannel> channel)
 {
     const auto found = entries_.find(instance);
     if (found == entries_.end() || !channel->isReusable()) {
@@ -111,7 +111,7 @@
     load.sentSinceReport--;
 }
 
-void ServerPool::noteReport(const std::string &instance, const LoadReport &report)
+void ServerPool::noteLoadReport(const std::string &instance, const LoadReport &report)
 {
     balancing::ServerLoad &load = entries_[instance].load;
     load.reportedRequests = report.running + report.waiting;
@@ -119,15 +119,15 @@
     load.reportedAt = loop_.now();
 }
 
-void ServerPool::noteHeard(const std::string &instance)
+void ServerPool::noteActivity(const std::string &instance)
 {
-    entries_[instance].heardAt = loop_.now();
+    entries_[instance].lastActivityAt = loop_.now();
 }
 
-std::optional<TimePoint> ServerPool::heardAt(const std::string &instance) const
+std::optional<TimePoint> ServerPool::lastActivityAt(const std::string &instance) const
 {
     const ServerEntry *entry = find(instance);
-    return entry ? entry->heardAt : std::nullopt;
+    return entry ? entry->lastActivityAt : std::nullopt;
 }
 
 std::size_t ServerPool::openChannels() const
@@ -139,7 +139,7 @@
     return sum;
 }
 
-std::vector<presence::ServerWork> ServerPool::waitingWork() const
+std::vector<presence::ServerWork> ServerPool::waitingTokens() const
 {
     std::vector<presence::ServerWork> works;
     for (const auto &[instance, entry] : entries_) {
--- a/src/forwarding/internal/servicedemand.cpp
+++ b/src/forwarding/internal/servicedemand.cpp
@@ -22,7 +22,7 @@
     entry.updatedAt = now;
 }
 
-void ServiceDemand::noteAsked(const std::string &service, std::int64_t promptTokens, TimePoint now)
+void ServiceDemand::noteRequest(const std::string &service, std::int64_t promptTokens, TimePoint now)
 {
     Entry &entry = entries_[service];
     decay(entry, now);
--- a/src/forwarding/peerbacklog.h
+++ b/src/forwarding/peerbacklog.h
@@ -12,24 +12,24 @@
 
 namespace cardamomlift::forwarding {
 
-/// The prompt tokens that the other entry VMs have sent to backend servers and that wait to be read there, as they told.
-/// Without it, VMs whose own sends are few choose the same servers in the same moment.
+/// Prompt tokens that the other entry VMs have sent to backend servers and that wait there for prefill, as those VMs
+/// reported. Without it, VMs that send few requests themselves choose the same servers at the same moment.
 class PeerBacklog
 {
 public:
-    /// @p vm's newest word; it replaces the one before.
+    /// Replaces the previous report of @p vm by @p works.
     void update(const std::string &vm, std::span<const presence::ServerWork> works, TimePoint now);
-    /// What waits at the server with the hash @p server, less what it has likely read since it was told.
+    /// Tokens waiting at the server with the hash @p server, less those that it has likely processed since the reports.
     std::int64_t waitingTokens(std::uint64_t server, TimePoint now) const;
 
 private:
-    struct Told {
+    struct Report {
         std::int64_t tokens = 0;
         TimePoint at;
     };
-    void drop(const std::string &vm);
-    std::unordered_map<std::uint64_t, std::map<std::string, Told>> servers_; ///< By server, by VM.
-    std::map<std::string, std::vector<std::uint64_t>> toldBy_; ///< By VM: the servers of its last word.
+    void dropReport(const std::string &vm);
+    std::unordered_map<std::uint64_t, std::map<std::string, Report>> servers_; ///< By server, by VM.
+    std::map<std::string, std::vector<std::uint64_t>> serversByVm_; ///< By VM: the servers in its last report.
 };
 
 } // namespace cardamomlift::forwarding
--- a/src/forwarding/retrypacer.h
+++ b/src/forwarding/retrypacer.h
@@ -7,16 +7,17 @@
 
 namespace cardamomlift::forwarding {
 
-/// When callers that found no room at the limited servers of a service shall come back: one after the other, as fast as this
-/// VM may send to these servers. Callers told the same time would meet again, and most be refused again.
+/// Chooses the Retry-After times of callers that are refused because all servers of a service are at their rate limits: one
+/// after the other, at the rate at which this VM may send to those servers. Callers that were given the same time would
+/// return together, and most of them would be refused again.
 class RetryPacer
 {
 public:
-    /// The time from @p now after which the next caller returns. @p perSecond: requests that this VM may send.
-    Duration next(const std::string &service, double perSecond, TimePoint now);
+    /// Delay from @p now after which the next refused caller shall retry. @p perSecond: requests that this VM may send.
+    Duration nextDelay(const std::string &service, double perSecond, TimePoint now);
 
 private:
-    std::map<std::string, TimePoint> last_; ///< By service: when the last one that was told a time returns.
+    std::map<std::string, TimePoint> lastReturn_; ///< By service: the latest retry time given to a caller.
 };
 
 } // namespace cardamomlift::forwarding
--- a/src/forwarding/routegateway.h
+++ b/src/forwarding/routegateway.h
@@ -12,10 +12,10 @@
 
 namespace cardamomlift::forwarding {
 
-/// What the settings say of forwarding.
+/// The forwarder's settings out of those of the gateway.
 ForwardingSettings forwardingSettings(const settings::RouteGatewaySettings &settings, std::string_view zone);
 
-/// What a gateway works with.
+/// Dependencies of a RouteGateway.
 struct GatewayTools {
     EventLoop *loop = nullptr;
     settings::RouteGatewaySettings settings;
@@ -27,18 +27,18 @@
     std::shared_ptr<metrics::Metrics> metrics;
 };
 
-/// The ports of a daemon that serves routes: callers, readiness and metrics; and its orderly end.
+/// The listeners of a daemon that serves routes (callers, readiness, metrics), and its graceful shutdown.
 class RouteGateway
 {
 public:
     static Result<std::shared_ptr<RouteGateway>> create(GatewayTools tools);
     ~RouteGateway();
 
-    /// Not ready from here on; what comes on open connections is still served. Calls @p done when all is answered, or
-    /// shortly before the grace time ends.
+    /// Starts the shutdown: reports not ready, while requests are still served. Calls @p done when all requests have been
+    /// answered and the load balancer has taken this VM out, or shortly before the grace period ends.
     void drain(std::function<void()> done);
     bool isReady() const;
-    /// Bounds take effect from the next request on; addresses stay as they are.
+    /// Applies new limits from the next request on; listen addresses do not change.
     void applySettings(const settings::RouteGatewaySettings &settings);
 
 private:
@@ -53,8 +53,8 @@
     std::shared_ptr<http1::CallerServer> readiness_;
     std::shared_ptr<http1::CallerServer> metrics_;
     bool draining_ = false;
-    TimePoint drainBegan_;
-    std::function<void()> drained_;
+    TimePoint drainStartedAt_;
+    std::function<void()> onDrained_;
     TimerId drainTimer_ = 0;
 };
 
--- a/src/forwarding/serverlimitgate.h
+++ b/src/forwarding/serverlimitgate.h
@@ -8,20 +8,20 @@
 
 namespace cardamomlift::forwarding {
 
-/// Keeps the limits that backend servers name on the requests of all entry VMs together.
+/// Enforces the rate limits that backend servers advertise. A limit holds for the requests of all entry VMs together.
 class ServerLimitGate
 {
 public:
     virtual ~ServerLimitGate() = default;
-    /// Whether the server may get a request from this VM now. One without a limit always may.
+    /// True if this VM may send a request to the server now; always true for a server without a limit.
     virtual bool hasRoom(const std::string &instance) = 0;
-    /// A request goes to the server. Each send is counted, whatever it is for.
+    /// Counts a request sent to the server; first attempts, retries and moved runs all count.
     virtual void noteSent(const std::string &instance) = 0;
-    /// The server has answered a request that was sent to it at @p sentAt.
-    virtual void noteAnswer(const std::string &instance, const AdvertisedLimit &statement, TimePoint sentAt) = 0;
-    /// Requests a second that the server takes from all VMs; empty: it has named no limit.
+    /// Takes in the limit that the server advertised, or not, in its answer to a request sent at @p sentAt.
+    virtual void noteAnswer(const std::string &instance, const AdvertisedLimit &limit, TimePoint sentAt) = 0;
+    /// Requests per second that the server accepts from all VMs together; empty if it advertises no limit.
     virtual std::optional<double> requestsPerSecond(const std::string &instance) const = 0;
-    /// Requests a second that this VM may send to the server; 0 if it has named no limit.
+    /// This VM's share of the server's limit, in requests per second; 0 if the server advertises no limit.
     virtual double ownRequestsPerSecond(const std::string &instance) const = 0;
 };
 
--- a/src/forwarding/serverpool.h
+++ b/src/forwarding/serverpool.h
@@ -14,42 +14,43 @@
 
 namespace cardamomlift::forwarding {
 
-/// What this VM has open at one backend server.
+/// Connections to one backend server, and its load.
 struct ServerEntry {
     balancing::ServerLoad load;
     std::vector<std::shared_ptr<http1::BackendChannel>> idle;
-    std::size_t channels = 0; ///< Open ones, idle or in use.
-    std::optional<TimePoint> heardAt; ///< The last bytes of an answer, on any channel.
+    std::size_t channels = 0; ///< Number of open channels, idle or in use.
+    std::optional<TimePoint> lastActivityAt; ///< When bytes of an answer were last received, on any channel.
 };
 
-/// Channels to the backend servers, and what is known of their load. Keyed by instance, never by address.
+/// Connection pool of the backend servers, with what is known of their load. Keyed by instance, never by address.
 class ServerPool
 {
 public:
     static std::shared_ptr<ServerPool> create(EventLoop &loop, std::shared_ptr<directory::Directory> directory);
 
-    /// A channel for one call, a kept one if there is any.
-    std::shared_ptr<http1::BackendChannel> take(const directory::BackendServer &server);
-    /// Gives a channel back after its call; one that can't be used again is closed.
-    void giveBack(const std::string &instance, std::shared_ptr<http1::BackendChannel> channel);
-    /// Closes a channel in the middle of its call.
+    /// Returns a channel for one call: an idle one if there is any, else a new one.
+    std::shared_ptr<http1::BackendChannel> acquire(const directory::BackendServer &server);
+    /// Returns a channel to the pool after its call; one that can't be reused is closed.
+    void release(const std::string &instance, std::shared_ptr<http1::BackendChannel> channel);
+    /// Closes a channel, also in the middle of its call.
     void discard(const std::string &instance, std::shared_ptr<http1::BackendChannel> channel);
 
     balancing::ServerLoad &load(const std::string &instance);
-    /// Null if nothing is known.
+    /// Null if nothing is known of the server.
     const ServerEntry *find(const std::string &instance) const;
     void noteSent(const std::string &instance, std::int64_t promptTokens);
     void noteFirstByte(const std::string &instance, std::int64_t promptTokens);
     void noteEnded(const std::string &instance);
-    void noteReport(const std::string &instance, const LoadReport &report);
-    /// Something came from the server, on any channel.
-    void noteHeard(const std::string &instance);
-    /// Empty if nothing was heard yet.
-    std::optional<TimePoint> heardAt(const std::string &instance) const;
+    void noteLoadReport(const std::string &instance, const LoadReport &report);
+    /// Notes that bytes of an answer were received from the server, on any channel.
+    void noteActivity(const std::string &instance);
+    /// When noteActivity() was last called; empty if it never was.
+    std::optional<TimePoint> lastActivityAt(const std::string &instance) const;
     std::size_t openChannels() const;
-    /// What waits to be read at each server, for the other VMs.
-    std::vector<presence::ServerWork> waitingWork() const;
-    /// Forgets servers that are no longer listed, and idle channels that the server will close soon.
+    /// Prompt tokens of this VM's requests that wait for prefill, by server; reported to the other VMs.
+    std::vector<presence::ServerWork> waitingTokens() const;
+    /// Removes servers that are no longer listed, and idle channels that can't be reused, such as those that the server will
+    /// close soon.
     void tick();
 
 private:
--- a/src/forwarding/servicedemand.h
+++ b/src/forwarding/servicedemand.h
@@ -9,13 +9,13 @@
 
 namespace cardamomlift::forwarding {
 
-/// What this VM's callers ask of each service, and how late the answers begin: averages over the last seconds.
+/// Load that this VM's callers put on each service, and the latency of the answers: moving averages over the last seconds.
 class ServiceDemand
 {
 public:
-    void noteAsked(const std::string &service, std::int64_t promptTokens, TimePoint now);
+    void noteRequest(const std::string &service, std::int64_t promptTokens, TimePoint now);
     void noteEnded(const std::string &service);
-    /// An answer has begun after @p took; @p goal: what its route declares, 0 if nothing.
+    /// Notes the time to the first byte of an answer. @p goal: the latency goal of its route; 0 if it declares none.
     void noteFirstByte(const std::string &service, Duration took, Duration goal, TimePoint now);
     std::vector<presence::ServiceLoad> loads(TimePoint now) const;
 
--- a/src/forwarding/tests/eventsplitter_test.cpp
+++ b/src/forwarding/tests/eventsplitter_test.cpp
@@ -27,8 +27,8 @@
 {
     EventSplitter splitter;
     EXPECT_EQ(splitter.feed("id: 1\ndata: a\n\nid: 2\nda"), "id: 1\ndata: a\n\n");
-    EXPECT_EQ(splitter.rest(), "id: 2\nda");
-    splitter.dropRest();
+    EXPECT_EQ(splitter.incompleteEvent(), "id: 2\nda");
+    splitter.dropIncompleteEvent();
     EXPECT_EQ(splitter.lastId(), "1");
     EXPECT_EQ(splitter.feed("id: 2\ndata: b\n\n"), "id: 2\ndata: b\n\n");
 }
@@ -36,7 +36,7 @@
 TEST(EventSplitter, HoldsBackABoundedAmount)
 {
     EventSplitter splitter;
-    const std::string huge(EventSplitter::LongestEvent + 1, 'x');
+    const std::string huge(EventSplitter::MaxEventBytes + 1, 'x');
     EXPECT_EQ(splitter.feed(huge).size(), huge.size());
 }
 
--- a/src/forwarding/tests/forwarder_test.cpp
+++ b/src/forwarding/tests/forwarder_test.cpp
@@ -24,7 +24,7 @@
     }
     EXPECT_LE(std::stoi(std::string(fields.get("X-Deadline-Ms"))), 9000);
     seen->answer(signedHead(), "answer");
-    ASSERT_TRUE(runUntil([&] { return answered(*client, "200"); }));
+    ASSERT_TRUE(runUntil([&] { return hasStatus(*client, "200"); }));
     EXPECT_TRUE(client->received().ends_with("answer"));
     EXPECT_NE(client->received().find("X-Response-Signature: sig"), std::string::npos);
 }
@@ -34,7 +34,7 @@
     const auto client = call(request("/once/1"));
     next()->answer(notRunHead(), "");
     next()->answer(notRunHead(), "");
-    ASSERT_TRUE(runUntil([&] { return answered(*client, "503"); }));
+    ASSERT_TRUE(runUntil([&] { return hasStatus(*client, "503"); }));
     EXPECT_NE(client->received().find("Retry-After"), std::string::npos);
     EXPECT_EQ(gate_->taken, 0) << "what did not run is given back";
 }
@@ -43,7 +43,7 @@
 {
     const auto client = call(request("/once/1"));
     next()->breakOff();
-    ASSERT_TRUE(runUntil([&] { return answered(*client, "502"); }));
+    ASSERT_TRUE(runUntil([&] { return hasStatus(*client, "502"); }));
     EXPECT_EQ(arrivals(), 1);
 }
 
@@ -52,7 +52,7 @@
     const auto client = call(request("/safe/1"));
     next()->breakOff();
     next()->breakOff();
-    ASSERT_TRUE(runUntil([&] { return answered(*client, "502"); }));
+    ASSERT_TRUE(runUntil([&] { return hasStatus(*client, "502"); }));
     EXPECT_EQ(arrivals(), 2);
     EXPECT_EQ(backends_["one"].arrivals, 1) << "the second goes elsewhere";
 }
@@ -61,7 +61,7 @@
 {
     const auto client = call(request("/once/1"));
     next()->answer(signedHead(500), "broken");
-    ASSERT_TRUE(runUntil([&] { return answered(*client, "500"); }));
+    ASSERT_TRUE(runUntil([&] { return hasStatus(*client, "500"); }));
     EXPECT_TRUE(client->received().ends_with("broken"));
     EXPECT_EQ(arrivals(), 1);
 }
@@ -72,7 +72,7 @@
     http1::ResponseHead head;
     head.status = 200;
     next()->answer(std::move(head), "forged");
-    ASSERT_TRUE(runUntil([&] { return answered(*client, "502"); }));
+    ASSERT_TRUE(runUntil([&] { return hasStatus(*client, "502"); }));
 }
 
 TEST_F(ForwarderTest, AStreamThatBreaksEndsVisiblyUnfinished)
@@ -160,7 +160,7 @@
     next()->answer(notRunHead(), {});
     ASSERT_TRUE(runUntil([&] { return client->hasEnded(); }));
     EXPECT_FALSE(client->received().ends_with("0\r\n\r\n"));
-    EXPECT_NE(lines_.find(R"("event":"request_failed")"), std::string::npos) << lines_;
+    EXPECT_NE(logLines_.find(R"("event":"request_failed")"), std::string::npos) << logLines_;
 }
 
 TEST_F(ForwarderTest, ARunThatBeganBeforeItsMoveIsNotToldAsNotRun)
@@ -174,7 +174,7 @@
     done.status = 200;
     order->answer(std::move(done), R"({"handle":"h7","created":0})");
     next()->answer(notRunHead(), {});
-    EXPECT_TRUE(runUntil([&] { return answered(*client, "502"); })) << client->received();
+    EXPECT_TRUE(runUntil([&] { return hasStatus(*client, "502"); })) << client->received();
 }
 
 TEST_F(ForwarderTest, APromptThatAServerKeepsGoesThereAndIsCopiedWhenThatOneLeaves)
@@ -197,7 +197,7 @@
     const auto moved = next();
     EXPECT_NE(moved->head().fields.get("X-Expect-Instance"), holder);
     EXPECT_EQ(moved->head().fields.get("Kv-Fetch"), "127.0.0.1:" + std::to_string(backends_[holder].server->port()));
-    EXPECT_NE(lines_.find("\"to_read\":1000"), std::string::npos) << "only the last part";
+    EXPECT_NE(logLines_.find("\"to_read\":1000"), std::string::npos) << "only the last part";
 }
 
 TEST_F(ForwarderTest, ARunThatCanNotMoveGoesOnAsFarAsItGets)
@@ -243,10 +243,10 @@
     next()->answer(signedHead(500), "broken");
     const auto second = next();
     second->answer(signedHead(), "id: 1\ndata: a\n\n");
-    ASSERT_TRUE(runUntil([&] { return answered(*client, "200"); }));
+    ASSERT_TRUE(runUntil([&] { return hasStatus(*client, "200"); }));
     const auto once = call(request("/stream/1"));
     next()->answer(signedHead(500), "broken");
-    ASSERT_TRUE(runUntil([&] { return answered(*once, "500"); }));
+    ASSERT_TRUE(runUntil([&] { return hasStatus(*once, "500"); }));
     EXPECT_EQ(arrivals(), 3);
 }
 
@@ -267,7 +267,7 @@
 {
     const auto client = call(request("/short/1"));
     next();
-    ASSERT_TRUE(runUntil([&] { return answered(*client, "504"); }));
+    ASSERT_TRUE(runUntil([&] { return hasStatus(*client, "504"); }));
     EXPECT_EQ(arrivals(), 1);
 }
 
@@ -276,7 +276,7 @@
     directory_->remove("one", loop_->now());
     directory_->remove("two", loop_->now());
     const auto client = call(request("/once/1"));
-    ASSERT_TRUE(runUntil([&] { return answered(*client, "503"); }));
+    ASSERT_TRUE(runUntil([&] { return hasStatus(*client, "503"); }));
     EXPECT_NE(client->received().find("Retry-After"), std::string::npos);
 }
 
@@ -285,18 +285,18 @@
     backends_["one"].server.reset();
     const auto client = call(request("/once/1"));
     next()->answer(signedHead(), "answer");
-    ASSERT_TRUE(runUntil([&] { return answered(*client, "200"); }));
+    ASSERT_TRUE(runUntil([&] { return hasStatus(*client, "200"); }));
     const auto second = call(request("/once/2"));
     next()->answer(signedHead(), "answer");
-    ASSERT_TRUE(runUntil([&] { return answered(*second, "200"); }));
+    ASSERT_TRUE(runUntil([&] { return hasStatus(*second, "200"); }));
 }
 
 TEST_F(ForwarderTest, UnknownKeysAndRoutesAreDeniedOnlyOnFreshKnowledge)
 {
     const auto unknownKey = call("GET /safe/1 HTTP/1.1\r\nHost: a\r\nX-Credential: other\r\n\r\n");
-    ASSERT_TRUE(runUntil([&] { return answered(*unknownKey, "401"); }));
+    ASSERT_TRUE(runUntil([&] { return hasStatus(*unknownKey, "401"); }));
     const auto unknownRoute = call("GET /none/1 HTTP/1.1\r\nHost: a\r\nX-Credential: key\r\n\r\n");
-    ASSERT_TRUE(runUntil([&] { return answered(*unknownRoute, "404"); }));
+    ASSERT_TRUE(runUntil([&] { return hasStatus(*unknownRoute, "404"); }));
     EXPECT_EQ(arrivals(), 0);
 }
 
@@ -304,7 +304,7 @@
 {
     gate_->decision = {false, milliseconds(750)};
     const auto client = call(request("/once/1"));
-    ASSERT_TRUE(runUntil([&] { return answered(*client, "429"); }));
+    ASSERT_TRUE(runUntil([&] { return hasStatus(*client, "429"); }));
     EXPECT_NE(client->received().find("Retry-After: 0.750"), std::string::npos);
     EXPECT_EQ(arrivals(), 0);
 }
@@ -314,7 +314,7 @@
     forwarder_->beginDrain(loop_->now() + std::chrono::seconds(8));
     const auto taken = call(request("/stream/1"));
     next()->answer(signedHead(), "id: 1\ndata: a\n\n");
-    ASSERT_TRUE(runUntil([&] { return answered(*taken, "200"); })) << "callers go on for a while before they know";
+    ASSERT_TRUE(runUntil([&] { return hasStatus(*taken, "200"); })) << "callers go on for a while before they know";
 }
 
 TEST_F(ForwarderTest, RequestsThatTheLoopFreesLateDoNoHarm)
@@ -336,10 +336,10 @@
 {
     const auto client = call(request("/once/1"));
     next()->answer(signedHead(500), "broken");
-    ASSERT_TRUE(runUntil([&] { return answered(*client, "500"); }));
-    EXPECT_NE(lines_.find("\"request\":\"id1\""), std::string::npos);
-    EXPECT_NE(lines_.find("\"version\":1"), std::string::npos);
-    EXPECT_EQ(lines_.find("\"key\""), std::string::npos);
+    ASSERT_TRUE(runUntil([&] { return hasStatus(*client, "500"); }));
+    EXPECT_NE(logLines_.find("\"request\":\"id1\""), std::string::npos);
+    EXPECT_NE(logLines_.find("\"version\":1"), std::string::npos);
+    EXPECT_EQ(logLines_.find("\"key\""), std::string::npos);
 }
 
 TEST(KeyFreshness, KeyedServiceEndsWhenKnowledgeIsOld)
@@ -351,10 +351,10 @@
     manifests->offer(std::move(manifest));
     manifests->confirm(clock.now());
     const ForwardingSettings settings;
-    clock.advance(settings.keysFreshFor);
-    EXPECT_TRUE(manifests->isFresh(clock.now(), settings.keysFreshFor));
+    clock.advance(settings.maxKeyAge);
+    EXPECT_TRUE(manifests->isFresh(clock.now(), settings.maxKeyAge));
     clock.advance(milliseconds(1));
-    EXPECT_FALSE(manifests->isFresh(clock.now(), settings.keysFreshFor));
+    EXPECT_FALSE(manifests->isFresh(clock.now(), settings.maxKeyAge));
 }
 
 } // namespace
--- a/src/forwarding/tests/forwarderlimits_test.cpp
+++ b/src/forwarding/tests/forwarderlimits_test.cpp
@@ -62,7 +62,7 @@
     {
         const auto client = call(request("/safe/1"));
         next()->answer(perSecond.empty() ? signedHead() : headWithLimit(perSecond), "answer");
-        ASSERT_TRUE(runUntil([&] { return answered(*client, "200"); })) << client->received();
+        ASSERT_TRUE(runUntil([&] { return hasStatus(*client, "200"); })) << client->received();
     }
 
     std::shared_ptr<serverlimits::ServerRateLimiter> limits_;
@@ -76,7 +76,7 @@
         serveOne();
     }
     EXPECT_EQ(backends_[limitedOne].arrivals, 1) << "no time has passed since it named its limit";
-    EXPECT_NE(lines_.find(R"("limited":1)"), std::string::npos) << "the line of a send says that a server was passed over";
+    EXPECT_NE(logLines_.find(R"("limited":1)"), std::string::npos) << "the line of a send says that a server was passed over";
 }
 
 TEST_F(ForwarderLimitsTest, WhereAllAreLimitedACallerIsToldWhenToComeBack)
@@ -86,7 +86,7 @@
     double last = 0;
     for (int i = 0; i < 3; i++) {
         const auto client = call(request("/once/1"));
-        ASSERT_TRUE(runUntil([&] { return answered(*client, "503"); })) << client->received();
+        ASSERT_TRUE(runUntil([&] { return hasStatus(*client, "503"); })) << client->received();
         const std::size_t place = client->received().find("Retry-After: ");
         ASSERT_NE(place, std::string::npos) << client->received();
         const double wait = std::stod(client->received().substr(place + std::string("Retry-After: ").size()));
@@ -94,7 +94,7 @@
         last = wait;
     }
     EXPECT_EQ(arrivals(), 0);
-    EXPECT_NE(lines_.find(R"("reason":"servers_limited")"), std::string::npos);
+    EXPECT_NE(logLines_.find(R"("reason":"servers_limited")"), std::string::npos);
     EXPECT_EQ(gate_->taken, 0) << "the customer's allowance is given back";
 }
 
@@ -106,7 +106,7 @@
     serveOne("1");
     serveOne("1");
     EXPECT_EQ(arrivals(), 2);
-    EXPECT_NE(lines_.find(R"("limit":"1")"), std::string::npos) << "the line of a send tells the limit of its server";
+    EXPECT_NE(logLines_.find(R"("limit":"1")"), std::string::npos) << "the line of a send tells the limit of its server";
 }
 
 TEST_F(ForwarderLimitsTest, ARequestIsNotRepeatedWhereThereIsNoRoom)
@@ -114,7 +114,7 @@
     limit("one", 1);
     const auto client = call(request("/safe/1"));
     next()->answer(signedHead(500), "failed");
-    ASSERT_TRUE(runUntil([&] { return answered(*client, "502"); })) << client->received();
+    ASSERT_TRUE(runUntil([&] { return hasStatus(*client, "502"); })) << client->received();
     EXPECT_EQ(backends_["one"].arrivals, 0);
 }
 
@@ -134,12 +134,12 @@
     ASSERT_EQ(backends_["one"].arrivals, 1);
     exchange->begin(signedHead());
     exchange->send("id: 1\ndata: a\n\n");
-    ASSERT_TRUE(runUntil([&] { return answered(*client, "200"); }));
+    ASSERT_TRUE(runUntil([&] { return hasStatus(*client, "200"); }));
     reclaim("one");
     pass(milliseconds(50));
     loop_->runDue();
     EXPECT_EQ(arrivals(), 1);
-    EXPECT_EQ(lines_.find("stream_moved"), std::string::npos);
+    EXPECT_EQ(logLines_.find("stream_moved"), std::string::npos);
 }
 
 TEST_F(ForwarderLimitsTest, AMovedRunCountsWhereItGoes)
@@ -149,13 +149,13 @@
     const auto exchange = next();
     exchange->begin(signedHead());
     exchange->send("id: 1\ndata: a\n\n");
-    ASSERT_TRUE(runUntil([&] { return answered(*client, "200"); }));
+    ASSERT_TRUE(runUntil([&] { return hasStatus(*client, "200"); }));
     // One request may go to the server.
     while (!limits_->hasRoom("two")) {
         pass(milliseconds(100));
     }
     reclaim("one");
-    ASSERT_TRUE(runUntil([&] { return lines_.find("stream_moved") != std::string::npos; }));
+    ASSERT_TRUE(runUntil([&] { return logLines_.find("stream_moved") != std::string::npos; }));
     EXPECT_FALSE(limits_->hasRoom("two"));
 }
 
--- a/src/forwarding/tests/forwarderrepeats_test.cpp
+++ b/src/forwarding/tests/forwarderrepeats_test.cpp
@@ -9,7 +9,7 @@
     const ForwardingSettings settings;
     constexpr int Requests = 40;
     const double most = settings.retrySlack / 2 + settings.retryRatio * Requests;
-    const int repeats = repeatsOfBroken(Requests);
+    const int repeats = countRetriesOfBroken(Requests);
     EXPECT_LE(repeats, most);
     EXPECT_GE(repeats, most - 1);
 }
@@ -20,7 +20,7 @@
     tools_.settings.retryRatio = 0;
     restartForwarder();
     clock_.advance(ForwardingSettings().retryWindow);
-    EXPECT_EQ(repeatsOfBroken(10), 1);
+    EXPECT_EQ(countRetriesOfBroken(10), 1);
 }
 
 TEST_F(ForwarderTest, WhatAYoungProcessMayRepeatGrowsOverAWindow)
@@ -28,16 +28,16 @@
     const ForwardingSettings settings;
     tools_.settings.retryRatio = 0;
     restartForwarder();
-    const int first = repeatsOfBroken(10);
+    const int first = countRetriesOfBroken(10);
     EXPECT_LT(first, settings.retrySlack / 4);
     clock_.advance(settings.retryWindow);
     forwarder_->tick();
-    const int second = repeatsOfBroken(10);
+    const int second = countRetriesOfBroken(10);
     EXPECT_GT(second, first);
     EXPECT_LE(first + second, settings.retrySlack / 2);
     clock_.advance(settings.retryWindow);
     forwarder_->tick();
-    EXPECT_EQ(repeatsOfBroken(10), 0) << "what is not earned is given once";
+    EXPECT_EQ(countRetriesOfBroken(10), 0) << "what is not earned is given once";
 }
 
 TEST_F(ForwarderTest, TheBoundOfRepeatsFollowsTheNumberOfVms)
@@ -45,10 +45,10 @@
     tools_.settings.retryRatio = 0;
     restartForwarder();
     clock_.advance(ForwardingSettings().retryWindow);
-    EXPECT_EQ(repeatsOfBroken(1), 1);
+    EXPECT_EQ(countRetriesOfBroken(1), 1);
     vmCount_ = 5;
     forwarder_->tick();
-    EXPECT_EQ(repeatsOfBroken(10), 1);
+    EXPECT_EQ(countRetriesOfBroken(10), 1);
 }
 
 } // namespace
--- a/src/forwarding/tests/forwardersilence_test.cpp
+++ b/src/forwarding/tests/forwardersilence_test.cpp
@@ -16,9 +16,9 @@
     EXPECT_NE(second->head().fields.get("X-Expect-Instance"), first->head().fields.get("X-Expect-Instance"));
     ASSERT_TRUE(runUntil([&] { return cancelled; })) << "the silent server need not go on with it";
     second->answer(signedHead(), "answer");
-    ASSERT_TRUE(runUntil([&] { return answered(*client, "200"); }));
+    ASSERT_TRUE(runUntil([&] { return hasStatus(*client, "200"); }));
     EXPECT_EQ(arrivals(), 2);
-    EXPECT_NE(lines_.find("\"event\":\"server_silent\""), std::string::npos);
+    EXPECT_NE(logLines_.find("\"event\":\"server_silent\""), std::string::npos);
 }
 
 TEST_F(ForwarderTest, AResumableStreamGoesOnElsewhereWhenItsServerFallsSilent)
@@ -45,9 +45,9 @@
     const auto client = call(request("/once/1"));
     const auto first = next();
     clock_.advance(Silence);
-    ASSERT_TRUE(runUntil([&] { return lines_.find("\"event\":\"server_silent\"") != std::string::npos; }));
+    ASSERT_TRUE(runUntil([&] { return logLines_.find("\"event\":\"server_silent\"") != std::string::npos; }));
     first->answer(signedHead(), "answer");
-    ASSERT_TRUE(runUntil([&] { return answered(*client, "200"); }));
+    ASSERT_TRUE(runUntil([&] { return hasStatus(*client, "200"); }));
     EXPECT_EQ(arrivals(), 1);
 }
 
@@ -60,12 +60,12 @@
     clock_.advance(LatencyGoal);
     const auto other = call(request("/safe/2"));
     next()->answer(signedHead(), "other");
-    ASSERT_TRUE(runUntil([&] { return answered(*other, "200"); }));
+    ASSERT_TRUE(runUntil([&] { return hasStatus(*other, "200"); }));
     clock_.advance(Silence - LatencyGoal);
     loop_->runDue();
     first->answer(signedHead(), "answer");
-    ASSERT_TRUE(runUntil([&] { return answered(*client, "200"); }));
-    EXPECT_EQ(lines_.find("\"event\":\"server_silent\""), std::string::npos);
+    ASSERT_TRUE(runUntil([&] { return hasStatus(*client, "200"); }));
+    EXPECT_EQ(logLines_.find("\"event\":\"server_silent\""), std::string::npos);
 }
 
 TEST_F(ForwarderTest, AfterASuspensionAnAnswerThatWaitsIsReadBeforeItsServerIsBlamed)
@@ -75,9 +75,9 @@
     const auto first = next();
     clock_.advance(Silence + std::chrono::seconds(3));
     first->answer(signedHead(), "answer");
-    ASSERT_TRUE(runUntil([&] { return answered(*client, "200"); }));
+    ASSERT_TRUE(runUntil([&] { return hasStatus(*client, "200"); }));
     EXPECT_EQ(arrivals(), 1);
-    EXPECT_EQ(lines_.find("\"event\":\"server_silent\""), std::string::npos);
+    EXPECT_EQ(logLines_.find("\"event\":\"server_silent\""), std::string::npos);
 }
 
 TEST_F(ForwarderTest, AServerThatSwallowedTwoRequestsGetsNoMoreForAWhile)
@@ -94,12 +94,12 @@
         silent = silent.empty() ? server : silent;
         if (server != silent) {
             exchange->answer(signedHead(), "answer");
-            ASSERT_TRUE(runUntil([&] { return answered(*callers.back(), "200"); }));
+            ASSERT_TRUE(runUntil([&] { return hasStatus(*callers.back(), "200"); }));
         } else {
             held.push_back(exchange);
             clock_.advance(Silence);
-            ASSERT_TRUE(runUntil([&] { return lines_.find("\"event\":\"server_silent\"") != std::string::npos; }));
-            lines_.clear();
+            ASSERT_TRUE(runUntil([&] { return logLines_.find("\"event\":\"server_silent\"") != std::string::npos; }));
+            logLines_.clear();
             callers.back()->close();
             ASSERT_TRUE(runUntil([&] { return forwarder_->openRequests() == 0; }));
         }
--- a/src/forwarding/tests/forwardertest.h
+++ b/src/forwarding/tests/forwardertest.h
@@ -55,7 +55,7 @@
         directory_ = directory::Directory::create();
         pool_ = ServerPool::create(*loop_, directory_);
         log_ = eventlog::EventLog::create(clock_, "vm", [this](std::string_view line) {
-            lines_ += line;
+            logLines_ += line;
             return true;
         });
         ForwarderTools tools;
@@ -91,7 +91,7 @@
     }
 
     /// Has idempotent requests broken off at each server that they reach; how many were sent again.
-    int repeatsOfBroken(int requests)
+    int countRetriesOfBroken(int requests)
     {
         const int before = arrivals();
         // Time may have been skipped, and keys are judged on fresh knowledge only.
@@ -105,7 +105,7 @@
                         backend.requests.pop_front();
                     }
                 }
-                return answered(*client, "502");
+                return hasStatus(*client, "502");
             })) << client->received();
         }
         return arrivals() - before - requests;
@@ -243,7 +243,7 @@
         return head;
     }
 
-    bool answered(http1::RawClient &client, const std::string &status)
+    bool hasStatus(http1::RawClient &client, const std::string &status)
     {
         return client.received().starts_with("HTTP/1.1 " + status) && client.received().find("\r\n\r\n") != std::string::npos;
     }
@@ -273,7 +273,7 @@
     std::shared_ptr<Forwarder> forwarder_;
     std::shared_ptr<http1::CallerServer> entry_;
     std::map<std::string, Backend> backends_;
-    std::string lines_;
+    std::string logLines_;
 };
 
 } // namespace cardamomlift::forwarding
--- a/src/forwarding/tests/forwarderversions_test.cpp
+++ b/src/forwarding/tests/forwarderversions_test.cpp
@@ -27,7 +27,7 @@
     for (int i = 0; i < 20; i++) {
         const auto client = call(request("/safe/1"));
         next()->answer(signedHead(), "answer");
-        ASSERT_TRUE(runUntil([&] { return answered(*client, "200"); }));
+        ASSERT_TRUE(runUntil([&] { return hasStatus(*client, "200"); }));
     }
     EXPECT_EQ(backends_["new"].arrivals, 0);
     EXPECT_EQ(versions_->open, 0);
@@ -42,7 +42,7 @@
     EXPECT_EQ(backends_["new"].arrivals, 1);
     first->answer(signedHead(500), "failed");
     next()->answer(signedHead(), "answer");
-    ASSERT_TRUE(runUntil([&] { return answered(*client, "200"); }));
+    ASSERT_TRUE(runUntil([&] { return hasStatus(*client, "200"); }));
     EXPECT_EQ(backends_["new"].arrivals, 1);
     EXPECT_EQ(versions_->outcomes, (std::vector<std::string>{"v2 failed", " answered"}));
     EXPECT_EQ(versions_->open, 0);
@@ -54,7 +54,7 @@
     versions_->nextPick = VersionPick::OnTrial;
     const auto client = call(request("/safe/1"));
     next()->answer(signedHead(), "answer");
-    ASSERT_TRUE(runUntil([&] { return answered(*client, "200"); }));
+    ASSERT_TRUE(runUntil([&] { return hasStatus(*client, "200"); }));
     EXPECT_EQ(versions_->cancelledTrials, 1);
 }
 
@@ -65,7 +65,7 @@
     const auto unanswered = next();
     clock_.pause();
     clock_.advance(milliseconds(200));
-    ASSERT_TRUE(runUntil([&] { return answered(*client, "504"); }));
+    ASSERT_TRUE(runUntil([&] { return hasStatus(*client, "504"); }));
     EXPECT_EQ(versions_->outcomes, std::vector<std::string>{"v2 failed"});
 }
 
--- a/src/forwarding/versiongate.h
+++ b/src/forwarding/versiongate.h
@@ -8,38 +8,38 @@
 
 namespace cardamomlift::forwarding {
 
-/// Which of a service's servers a request is meant for.
+/// Which servers of a service a request is meant for.
 enum class VersionPick {
-    Usual,
-    OnTrial, ///< It is one of the few by which a new version is tried.
+    Usual, ///< Servers of versions in regular use.
+    OnTrial, ///< Servers of a new version on trial, which gets a small share of the requests.
 };
 
-/// Whether a server may get a request.
+/// Whether a server may receive a request.
 enum class Eligibility {
     Preferred,
-    Fallback, ///< Where no preferred one is left.
+    Fallback, ///< Only if no preferred server is left.
     None,
 };
 
-/// Says which versions of a service's servers may get requests, and hears what these came to.
+/// Decides which versions of a service's servers receive which requests, and records the outcomes by version.
 class VersionGate
 {
 public:
     virtual ~VersionGate() = default;
-    /// Counts a request to @p service. Asked once for each.
+    /// Counts a request to @p service and assigns it to the usual servers or to the trial. Called once per request.
     virtual VersionPick pick(const std::string &service, const std::string &route) = 0;
-    /// A request that was picked for a trial finds no server there.
+    /// Undoes the assignment of a request to the trial for which no server on trial was available.
     virtual void cancelTrial(const std::string &service, const std::string &route) = 0;
     virtual Eligibility eligibility(const directory::BackendServer &server, VersionPick pick) = 0;
-    /// Servers of two versions run side by side until an order to change the version is carried out.
+    /// True while servers of two versions may run side by side: from the order to change the version to its completion.
     virtual bool isRolloutInProgress(std::string_view service) const = 0;
-    /// Whether a server's version gets requests as all others do.
+    /// True if a server's version receives regular requests, not just a trial's.
     virtual bool servesRegularTraffic(const directory::BackendServer &server) = 0;
     virtual void noteSent(const directory::BackendServer &server) = 0;
-    /// A send is over, whatever it came to.
+    /// A request to the server has ended, whatever its outcome.
     virtual void noteEnded(const directory::BackendServer &server) = 0;
-    /// @p firstByteAfter: from the send on; empty: it failed.
-    virtual void noteOutcome(const directory::BackendServer &server, const std::string &route, std::optional<Duration> firstByteAfter) = 0;
+    /// @p timeToFirstByte: measured from the send; empty if the request failed.
+    virtual void noteOutcome(const directory::BackendServer &server, const std::string &route, std::optional<Duration> timeToFirstByte) = 0;
 };
 
 } // namespace cardamomlift::forwarding
