--- a/src/forwarding/forwardingmodule.cpp
+++ b/src/forwarding/forwardingmodule.cpp
@@ -9,12 +9,12 @@
 
 constexpr Duration TickPeriod = std::chrono::milliseconds(500);
 
-/// A process that did not run for longer than this is told of in the log.
+/// Suspensions of the process shorter than this are not logged.
 constexpr Duration MinSuspension = std::chrono::milliseconds(500);
 
 void watchSuspensions(EventLoop &loop, const std::shared_ptr<eventlog::EventLog> &log)
 {
-    // NOTE The loop copies an action before each call, so what it remembers is shared.
+    // NOTE The loop copies the callback before each call, so its state must be shared.
     const auto last = std::make_shared<TimePoint>(loop.now());
     loop.every(TickPeriod, [&loop, log, last] {
         const Duration pausedFor = loop.now() - *last - TickPeriod;
--- a/src/forwarding/internal/forwardedrequest.cpp
+++ b/src/forwarding/internal/forwardedrequest.cpp
@@ -10,15 +10,15 @@
 
 namespace {
 
-/// A server that takes no connection within this is passed over: many times the round trip between failure domains.
+/// A server that accepts no connection within this time is skipped: many times the round trip between failure domains.
 constexpr Duration ConnectTimeout = std::chrono::milliseconds(400);
-/// A 404 or 401 is given only on knowledge younger than this; older knowledge may lack a new route or key.
+/// 404 and 401 are returned only if the manifest was confirmed within this time; an older one may lack a new route or key.
 constexpr Duration MaxDenialAge = std::chrono::seconds(3);
-/// A VM that has lost the store: the caller's next try reaches another one.
+/// For a VM that has lost its connection to the store: the caller's next attempt reaches another VM.
 constexpr Duration StaleRetryAfter = std::chrono::milliseconds(200);
-/// This VM is about to end: any other one takes the request now.
+/// For a VM that is shutting down: any other VM accepts the request at once.
 constexpr Duration DrainingRetryAfter = std::chrono::milliseconds(50);
-/// With less time than this left, a request is not sent once more: no server answers so fast.
+/// A request with less time left than this is not sent: no server answers that fast.
 constexpr Duration MinTimeForSend = std::chrono::milliseconds(20);
 
 } // namespace
@@ -157,7 +157,7 @@
     });
 }
 
-// By the weights, and the same for each try with the same id.
+// Chooses by weight. Requests with the same id always get the same service.
 const std::string &ForwardedRequest::chooseService() const
 {
     std::uint64_t sum = 0;
@@ -204,7 +204,7 @@
     if (pick_ == VersionPick::OnTrial && choice.pick != pick_) {
         tools_.versions->cancelTrial(service_, route_->name);
     }
-    // A repeat is for the caller's sake: it goes where most do.
+    // Retries go to the usual versions: the caller should not suffer from a trial twice.
     pick_ = VersionPick::Usual;
     if (!choice.server) {
         endWithoutServer(choice);
@@ -228,7 +228,7 @@
     refuse(StatusUnavailable, sends_ == 0 ? FailureReason::NoServer : FailureReason::ServersFull, ServersFullRetryAfter);
 }
 
-// Counted when a server is decided on, also for a moved run, which reaches it a little later.
+// Called when the server is chosen; a moved run is sent there a little later.
 void ForwardedRequest::countSend(const std::string &instance)
 {
     if (tools_.limits) {
--- a/src/forwarding/internal/forwardedrequest.h
+++ b/src/forwarding/internal/forwardedrequest.h
@@ -12,14 +12,14 @@
 
 namespace cardamomlift::forwarding {
 
-/// One caller's request from its arrival to its one final answer.
+/// One caller's request, from its arrival to its final answer: checks it, chooses servers, sends and retries it.
 class ForwardedRequest : public std::enable_shared_from_this<ForwardedRequest>
 {
 public:
     static std::shared_ptr<ForwardedRequest> create(Forwarder &forwarder, http1::ExchangePtr exchange);
     ~ForwardedRequest();
     void start();
-    /// A backend server is being reclaimed at @p endsAt: if the request runs there, its run is moved before that.
+    /// The backend server @p instance stops at @p endsAt: if the request runs there, its run is moved before that.
     void onServerReclaim(const std::string &instance, TimePoint endsAt);
 
 private:
@@ -33,10 +33,10 @@
         TimePoint sentAt;
         bool hasHead = false;
         bool hasFirstByte = false;
-        bool failureNoted = false; ///< A failure, or its silence, has been counted against its server.
-        std::int64_t prefillTokens = 0; ///< Of the prompt, as it was thought when it was sent.
+        bool failureNoted = false; ///< A failure or a silence of this attempt has been counted against the server.
+        std::int64_t prefillTokens = 0; ///< Prompt tokens to prefill, as estimated when the request was sent.
         TimePoint firstByteAt;
-        TimePoint lastByteAt; ///< When it was sent, before the first byte.
+        TimePoint lastByteAt; ///< The time of the send until a byte is received.
     };
 
     ForwardedRequest(Forwarder &forwarder, http1::ExchangePtr exchange);
@@ -47,17 +47,17 @@
     void setDeadline();
     const std::string &chooseService() const;
     void dispatch();
-    /// A backend server, and what there was to choose from.
+    /// The result of choosing a backend server, with figures for the log.
     struct Choice {
         directory::ServerPtr server; ///< Null if there is none.
-        VersionPick pick = VersionPick::Usual; ///< What it was chosen for.
+        VersionPick pick = VersionPick::Usual; ///< The assignment for which it was chosen.
         std::size_t candidates = 0;
-        std::size_t outliers = 0;
-        std::size_t limited = 0; ///< Passed over, since their limits leave no room now.
-        double limitedPerSecond = 0; ///< What this VM may send to these in a second.
-        std::int64_t cachedTokens = 0; ///< Of the prompt, believed to be in its cache.
-        std::int64_t prefillTokens = 0; ///< Of the prompt: neither cached there nor to be copied.
-        std::string kvFetchFrom; ///< "address:port" of a server to copy a part of the prompt's KV cache from; empty: none.
+        std::size_t outliers = 0; ///< Among the candidates.
+        std::size_t limited = 0; ///< Servers skipped because their rate limits leave no room now.
+        double limitedPerSecond = 0; ///< Requests per second that this VM may send to the skipped servers.
+        std::int64_t cachedTokens = 0; ///< Prompt tokens believed to be in the server's cache.
+        std::int64_t prefillTokens = 0; ///< Prompt tokens neither cached at the server nor to be copied to it.
+        std::string kvFetchFrom; ///< "address:port" of a server to copy the KV cache of the prompt's prefix from; empty: none.
     };
     Choice chooseServer() const;
     std::vector<directory::ServerPtr> shortList(std::span<const directory::ServerPtr> usable, std::span<const prefixindex::PrefixMatch> matches) const;
@@ -69,10 +69,10 @@
     void endWithoutServer(const Choice &choice);
     std::vector<const directory::KnownServer *> eligibleServers(std::span<const directory::ServerPtr> usable, VersionPick pick) const;
     void noteVersionOutcome(std::optional<Duration> firstByteAfter);
-    /// What the servers of the service are believed to keep of the prompt.
+    /// The longest prefix of the prompt that a server of the service is believed to have cached.
     struct BestCache {
-        std::int64_t tokens = 0; ///< The most that one server keeps.
-        directory::ServerPtr holder; ///< It; null if none keeps any.
+        std::int64_t tokens = 0; ///< Length of the prefix.
+        directory::ServerPtr holder; ///< The server; null if none has cached a prefix.
     };
     bool mayCopyFrom(const directory::KnownServer &known) const;
     BestCache findBestCache(std::span<const prefixindex::PrefixMatch> matches, const std::string &except) const;
@@ -114,12 +114,12 @@
     bool isStream() const;
     bool hasStreamStarted() const;
     std::int64_t cost() const;
-    /// Why a request that failed is not sent once more.
+    /// Why a failed request is not retried.
     FailureReason noRetryReason() const;
     void logDispatch(const Choice &choice) const;
     Duration timeLeft() const;
     std::int64_t millisecondsSince(TimePoint since) const;
-    /// Time since the request arrived, when it has reached @p step.
+    /// Adds the time since the request's arrival to the histogram of @p step.
     void observeStep(std::string_view step) const;
     void logAttempt(std::string_view outcome);
     void logAllowance(const AllowanceDecision &decision) const;
@@ -129,7 +129,7 @@
     const ForwarderTools &tools_;
     http1::ExchangePtr exchange_;
     CallerRequest request_;
-    std::vector<prefixindex::Prefix> prefixes_; ///< Of its prompt, that other requests may share.
+    std::vector<prefixindex::Prefix> prefixes_; ///< Prefixes of the prompt that other requests may share.
     manifest::ManifestPtr manifest_;
     const manifest::Route *route_ = nullptr;
     const manifest::Customer *customer_ = nullptr;
@@ -140,8 +140,8 @@
     TimerId silenceTimer_ = 0;
     TimePoint silenceDueAt_;
     std::optional<Attempt> attempt_;
-    std::set<std::string> tried_; ///< Instances that failed or refused.
-    VersionPick pick_ = VersionPick::Usual; ///< Of the next send.
+    std::set<std::string> tried_; ///< Instances not to be chosen again: they failed or refused, or the run leaves them.
+    VersionPick pick_ = VersionPick::Usual; ///< For the next send.
     int sends_ = 0;
     int runs_ = 0; ///< Sends after which the request may have run.
     /// A run that is being moved to another server.
@@ -149,20 +149,20 @@
         directory::ServerPtr from;
         directory::ServerPtr to;
         std::shared_ptr<http1::CallClient> client;
-        std::string kvSource; ///< Where the copy came from: "address:port/handle"; empty until the source has answered.
-        bool hasMoveAnswer = false; ///< The source has answered, with a handle or without.
-        bool hasSourceStopped = false; ///< The source has ended its stream.
+        std::string kvSource; ///< "address:port/handle" at the source of the copy; empty until the source has answered.
+        bool hasMoveAnswer = false; ///< The source has answered the call, with a handle or without.
+        bool hasSourceStopped = false; ///< The source has stopped the run and ended its stream.
     };
     std::optional<Move> move_;
     std::string kvSource_; ///< For the next send.
     TimerId moveTimer_ = 0;
     bool allowanceTaken_ = false;
-    bool headSent_ = false; ///< The head of a stream's answer has gone to the caller.
+    bool headSent_ = false; ///< The head of a stream's answer has been sent to the caller.
     bool usageNoted_ = false;
     bool demandNoted_ = false;
     bool finished_ = false;
     EventSplitter splitter_;
-    http1::ResponseHead streamHead_; ///< Of the first server; the caller sees no other.
+    http1::ResponseHead streamHead_; ///< From the first server; heads of later servers are not forwarded.
     TimePoint firstEventAt_;
 };
 
--- a/src/forwarding/internal/forwardedrequestanswer.cpp
+++ b/src/forwarding/internal/forwardedrequestanswer.cpp
@@ -74,7 +74,7 @@
 {
     const std::string rest = splitter_.incompleteEvent();
     if (!headSent_) {
-        // An answer without an event is the server's own, whole.
+        // An answer that ends without a whole event is forwarded as it is.
         exchange_->answer(tools_.wire.writeAnswer(attempt_->head), rest);
     } else {
         exchange_->send(rest);
@@ -115,7 +115,7 @@
 void ForwardedRequest::forwardAnswer()
 {
     if (hasStreamStarted()) {
-        // A resumed stream whose new server failed: the caller has seen a head already.
+        // A resumed stream whose new server failed: the caller has received a head already, so no other can follow.
         fail(StatusBadGateway, FailureReason::StreamBroken);
         return;
     }
@@ -147,8 +147,8 @@
 {
     const std::string instance = attempt_->server->server.instance;
     if (move_ && failure == http1::CallFailure::Broken) {
-        // The source ends its stream when the run stops; where it goes on depends on its answer to the move.
-        // It may not be told as not run, whatever becomes of the copy.
+        // The source ends its stream when it stops the run. Whether the run continues at the target depends on the source's
+        // answer to the move. In any case it has run, so the caller must not be told that it has not.
         runs_++;
         logAttempt("stopped_for_move");
         endAttempt(false);
--- a/src/forwarding/internal/forwardedrequestchoice.cpp
+++ b/src/forwarding/internal/forwardedrequestchoice.cpp
@@ -11,12 +11,13 @@
 
 namespace {
 
-/// Copies of fewer tokens than this are not asked for: reading them takes some 25 ms, and the call to the other server 5 ms.
+/// Fewer cached tokens than this are not copied from another server: their prefill takes some 25 ms, the call for the copy
+/// 5 ms.
 constexpr std::int64_t MinFetchTokens = 1000;
 
 } // namespace
 
-// The parts that other requests of the same session share: all but the last.
+// Requests of one session share all parts of the prompt but the last; the id of the last shared part identifies them.
 std::string ForwardedRequest::affinity() const
 {
     if (request_.prompt.size() < 2) {
@@ -25,14 +26,14 @@
     return request_.prompt[request_.prompt.size() - 2].id;
 }
 
-// A copy from a server that does not answer holds the request up until its time limit.
+// Outliers are excluded: a copy from a server that does not answer delays the request until its time limit.
 bool ForwardedRequest::mayCopyFrom(const directory::KnownServer &known) const
 {
     const bool mayServe = !tools_.versions || tools_.versions->eligibility(known.server, VersionPick::Usual) != Eligibility::None;
     return mayServe && known.server.service == service_ && !known.unlistedAt && !tools_.outliers->isOutlier(known.hash, service_);
 }
 
-// A leaving server is a good source while it lasts: it keeps what its successors lack.
+// Draining servers are included: while they last, they have cached what the servers that replace them lack.
 ForwardedRequest::BestCache ForwardedRequest::findBestCache(std::span<const prefixindex::PrefixMatch> matches, const std::string &except) const
 {
     BestCache best;
@@ -44,7 +45,7 @@
         if (!known || known->server.instance == except || !mayCopyFrom(*known)) {
             continue;
         }
-        // Of equal ones the first by instance, so that it does not depend on the hashes.
+        // Ties are broken by instance name, so that the result does not depend on the hashes.
         if (match.tokens > best.tokens || known->server.instance < best.holder->server.instance) {
             best = {match.tokens, std::move(known)};
         }
@@ -75,7 +76,7 @@
 {
     const auto usable = tools_.directory->usable(service_);
     const std::vector<prefixindex::PrefixMatch> matches = tools_.prefixes->matches(prefixes_);
-    // While a version is tried, the few servers that run it would be missed by a sample.
+    // During a rollout all servers are considered: a sample could miss the few servers that run the new version.
     const bool isVersionTried = tools_.versions && tools_.versions->isRolloutInProgress(service_);
     if (usable.size() > balancing::ShortListParameters().samplingThreshold && !isVersionTried) {
         Choice choice = chooseAmong(eligibleServers(shortList(usable, matches), pick_), matches);
@@ -164,7 +165,8 @@
     return choice;
 }
 
-// After a restart this VM knows of no holder, but requests have gone to their homes before: the best other one is asked.
+// After a restart this VM does not know which servers have cached a prefix. Earlier requests of the same affinity went to
+// its home servers, so the highest-ranked one besides the chosen server is the likeliest to have it.
 directory::ServerPtr ForwardedRequest::likelyCacheHolder(const std::string &except) const
 {
     const std::string shared = affinity();
--- a/src/forwarding/internal/forwardedrequestmove.cpp
+++ b/src/forwarding/internal/forwardedrequestmove.cpp
@@ -11,10 +11,11 @@
 using eventlog::Attribute;
 using eventlog::Event;
 
-/// A run is moved this long before its server goes. Most streams end by themselves within the notice; a copy of usual size
-/// takes some tens of milliseconds, and waits for others on the same link.
+/// A run is moved this long before its server stops. A late move is cheaper, as most streams end by themselves within the
+/// notice. A copy of usual size takes some tens of milliseconds, and waits for others on the same link.
 constexpr Duration MoveLead = std::chrono::milliseconds(700);
-/// The source must have answered, and the next server begun, before the caller takes the pause for the end.
+/// The source must answer within this time, so that the target resumes the stream before the caller takes the pause for
+/// the end of the stream.
 constexpr Duration MoveTimeout = std::chrono::milliseconds(1500);
 constexpr http1::ReadLimits MoveAnswerLimits{16384, 1u << 16};
 
@@ -35,7 +36,8 @@
     });
 }
 
-// A stream that may be resumed needs no copy; what runs once at most has no other way to go on.
+// Resumable streams are not moved: another server can resume them without a copy. A stream that may run only once can't be
+// continued in any other way.
 bool ForwardedRequest::mayMove(const std::string &instance) const
 {
     if (finished_ || move_ || !attempt_ || !route_ || !isStream() || route_->isResumable || attempt_->server->server.instance != instance) {
@@ -78,14 +80,15 @@
     }
     tools_.metrics->add(handle ? "streams_moved_total" : "stream_moves_failed_total");
     if (!handle && attempt_) {
-        // The run goes on where it is, as far as it gets.
+        // The run continues at the source until that one stops.
         move_.reset();
         return;
     }
     continueAtTarget();
 }
 
-// Both must be known: that the source has stopped, with all it had made passed on, and where its memory is.
+// Two conditions must hold: the source has stopped, so that all its events have been forwarded, and it has answered the
+// move, so that the location of the KV cache is known.
 void ForwardedRequest::continueAtTarget()
 {
     if (!move_->hasMoveAnswer || !move_->hasSourceStopped) {
--- a/src/forwarding/internal/forwardedrequestsilence.cpp
+++ b/src/forwarding/internal/forwardedrequestsilence.cpp
@@ -10,15 +10,16 @@
 using eventlog::Attribute;
 using eventlog::Event;
 
-/// A server is asked about after this multiple of what its route promises: an answer that late has missed its goal anyway.
+/// Multiples of the route's latency goal (before the first byte) and pause goal (after it) after which an attempt counts as
+/// silent: an answer that late has missed its goal anyway.
 constexpr int LatencyGoalFactor = 2;
 constexpr int PauseGoalFactor = 2;
-/// Shorter silences come with lost packets, which are sent again after 200 ms and more.
+/// Shorter silences may be due to lost packets, which are retransmitted after 200 ms or more.
 constexpr Duration MinSilence = std::chrono::milliseconds(300);
 constexpr Duration MaxSilence = std::chrono::milliseconds(2500);
-/// A timer that is late by more tells that the process was suspended or starved.
+/// A timer that fires later than this shows that the process was suspended or starved of CPU time.
 constexpr Duration SuspensionThreshold = std::chrono::milliseconds(200);
-/// Where the route promises nothing.
+/// For routes that declare no goal.
 constexpr Duration DefaultSilence = std::chrono::milliseconds(1500);
 
 } // namespace
@@ -35,7 +36,7 @@
     tools_.loop->cancel(silenceTimer_);
     const TimePoint now = tools_.loop->now();
     const Duration left = attempt_->lastByteAt + silenceLimit() - now;
-    // An answer that is overdue at a server that answers others is looked at again after as long.
+    // If the limit has passed already, but the server is sending other answers, check again after another full limit.
     silenceDueAt_ = now + (left > Duration(0) ? left : silenceLimit());
     silenceTimer_ = tools_.loop->after(silenceDueAt_ - now, [weak = weak_from_this()] {
         if (const auto self = weak.lock()) {
@@ -44,22 +45,23 @@
     });
 }
 
-// Nothing on any channel: a server that answers others is busy with this request, or its answer is lost on the way.
+// True if nothing was received from the server on any channel. A server that sends other answers is not silent: it is still
+// busy with this request, or the answer to it was lost on the way.
 bool ForwardedRequest::isServerSilent() const
 {
     const auto lastActivityAt = tools_.pool->lastActivityAt(attempt_->server->server.instance);
     return !lastActivityAt || tools_.loop->now() - *lastActivityAt >= silenceLimit();
 }
 
-// A request that may run again goes elsewhere. Any other waits for its answer until its time is over: silence proves
-// nothing, and the answer may still come.
+// A request that may run again is retried at another server. Any other keeps waiting until its deadline: silence does not
+// prove a failure, and the answer may still come.
 void ForwardedRequest::onSilenceTimeout()
 {
     if (!attempt_ || finished_ || move_) {
         return;
     }
     if (tools_.loop->now() - silenceDueAt_ > SuspensionThreshold) {
-        // NOTE This process pausedFor still: what came meanwhile is still unread.
+        // NOTE This process was suspended: bytes that arrived meanwhile have not been read yet.
         attempt_->lastByteAt = tools_.loop->now();
     }
     const bool isDue = tools_.loop->now() - attempt_->lastByteAt >= silenceLimit();
@@ -97,7 +99,7 @@
     }
     attempt_->failureNoted = attempt_->failureNoted || isFailure;
     tools_.outliers->note(attempt_->server->server.instance, service_, ending);
-    // An answer may be a head alone.
+    // An answer may have no body; then its head counts as the first byte.
     const TimePoint begunAt = attempt_->hasFirstByte ? attempt_->firstByteAt : attempt_->lastByteAt;
     const bool isAnswer = ending == outliers::Ending::Answered;
     noteVersionOutcome(isAnswer ? std::optional(begunAt - attempt_->sentAt) : std::nullopt);
--- a/src/forwarding/internal/forwarder.cpp
+++ b/src/forwarding/internal/forwarder.cpp
@@ -8,15 +8,15 @@
 
 namespace {
 
-/// How long after the notice requests are taken whatever they last: callers learn of it within this, and nearly all
-/// streams begun by then end within the grace time.
+/// For this long after the drain begins, requests are accepted whatever their deadline: callers notice the drain within this
+/// time, and nearly all streams started by then end within the grace period.
 constexpr Duration AcceptAllPeriod = std::chrono::milliseconds(2500);
-/// A reclaimable server that drains is gone after this at the earliest: the platform gives two to three seconds.
+/// Earliest end of a reclaimable server after its drain begins: the platform gives two to three seconds' notice.
 constexpr Duration MinReclaimNotice = std::chrono::milliseconds(2000);
-/// A process begins with this part of the repeats that it may save up, and is given the rest over a window: a VM that is restarted
-/// again and again within one window then adds less than one more full stock to what all VMs repeat.
+/// A process starts with this fraction of maxSavedRetries() and is granted the rest over one retry window. A VM that is
+/// restarted again and again within one window then adds less than one more full grant to the retries of all VMs.
 constexpr double InitialGrantFraction = 0.25;
-/// What a VM may save up while it does not know how many share the bound.
+/// The least value of maxSavedRetries(), also used while the number of VMs that share the bound is unknown.
 constexpr double MinSavedRetries = 1;
 
 } // namespace
@@ -44,7 +44,7 @@
     if (!leaving.isReclaimable || leaving.state != directory::ServerState::Draining) {
         return;
     }
-    // The list does not always say when.
+    // The server list does not always give the time.
     const TimePoint endsAt = leaving.endsAt.value_or(tools_->loop->now() + MinReclaimNotice);
     for (const auto &[key, request] : open_) {
         request->onServerReclaim(leaving.instance, endsAt);
@@ -86,7 +86,7 @@
     return !drainStartedAt_ || tools_->loop->now() - *drainStartedAt_ < AcceptAllPeriod || deadline < drainEndsAt_;
 }
 
-// Half of an even part: as many VMs again may start within a window, each with a stock of its own.
+// Half of an even share of the slack: as many new VMs may start within a window, each with a grant of its own.
 double Forwarder::maxSavedRetries() const
 {
     const auto count = tools_->vmCount();
@@ -131,7 +131,7 @@
     return budgets_.emplace(service, ServiceBudget{std::move(retries), granted}).first->second.retries;
 }
 
-// Freed by the loop: the request is in the middle of telling us.
+// The request is freed by the event loop, because it is itself the caller of this function.
 void Forwarder::forget(ForwardedRequest *request)
 {
     const auto found = open_.find(request);
--- a/src/forwarding/internal/forwardingconstants.h
+++ b/src/forwarding/internal/forwardingconstants.h
@@ -17,12 +17,12 @@
 inline constexpr int StatusUnavailable = 503;
 inline constexpr int StatusGatewayTimeout = 504;
 
-/// When servers are full or none is known: about the time in which a wave of requests has been worked off.
+/// Retry-After when all servers are full or none is known: about the time in which a burst of requests is processed.
 inline constexpr Duration ServersFullRetryAfter = std::chrono::milliseconds(500);
-/// Sends of one request that servers may refuse or not take before it is given up.
+/// A request that servers refuse, or that can't be delivered, is sent this many times at most.
 inline constexpr int MaxSends = 4;
 
-/// Whole milliseconds, for log lines.
+/// In whole milliseconds, for log lines.
 inline std::int64_t toMilliseconds(Duration duration)
 {
     return std::chrono::duration_cast<std::chrono::milliseconds>(duration).count();
--- a/src/forwarding/internal/peerbacklog.cpp
+++ b/src/forwarding/internal/peerbacklog.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-/// What an engine reads of waiting prompts in a second. Only how fast old news fades depends on it.
+/// Prompt tokens that an engine prefills per second. Used only to age old reports.
 constexpr double PrefillTokensPerSecond = 40'000;
 constexpr double MicrosecondsPerSecond = 1e6;
 
--- a/src/forwarding/internal/retrypacer.cpp
+++ b/src/forwarding/internal/retrypacer.cpp
@@ -6,9 +6,9 @@
 
 namespace {
 
-/// A return sooner than this meets the same state.
+/// A retry sooner than this would find the servers in the same state.
 constexpr Duration MinDelay = std::chrono::milliseconds(250);
-/// In more time than this the limits have likely changed, or servers have been added.
+/// After this time the limits have likely changed, or servers have been added.
 constexpr Duration MaxDelay = std::chrono::seconds(8);
 constexpr double MicrosecondsPerSecond = 1e6;
 
--- a/src/forwarding/internal/routegateway.cpp
+++ b/src/forwarding/internal/routegateway.cpp
@@ -13,17 +13,17 @@
 constexpr int StatusUnavailable = 503;
 constexpr int StatusNotFound = 404;
 
-/// Keys are judged by knowledge that is younger than their bound by this: time on the way to a backend server, and late
-/// timers.
+/// The manifest that keys are checked against must be younger than the revocation time by this margin, which covers the way
+/// to a backend server and late timers.
 constexpr Duration KeyMargin = std::chrono::milliseconds(400);
-/// The balancer takes a VM out after two misses a second apart; until then new connections come.
+/// The load balancer removes a VM after two failed checks one second apart; until then it opens new connections.
 constexpr Duration BalancerRemovalTime = std::chrono::milliseconds(2600);
-/// The end of the process, and of answers that are still open, comes this long before it would be killed.
+/// The process ends, together with answers that are still open, this long before it would be killed.
 constexpr Duration GraceMargin = std::chrono::milliseconds(700);
 constexpr Duration DrainCheckPeriod = std::chrono::milliseconds(100);
-/// Descriptors left for channels to backend servers, the store, listeners and files.
+/// File descriptors reserved for channels to backend servers, the store, listeners and files.
 constexpr std::size_t ReservedDescriptors = 1000;
-/// Of the memory of the process, request bodies may take this part; the program and its channels need the rest.
+/// Request bodies may use the memory of the process divided by this; the program and its channels need the rest.
 constexpr std::size_t BodyMemoryDivisor = 4;
 
 http1::ResponseHead statusHead(int status)
@@ -161,7 +161,7 @@
         return;
     }
     tools_.loop->cancel(drainTimer_);
-    // NOTE The loop goes on for a turn or two: a request that is read now would be sent on and cut.
+    // NOTE The loop runs for another iteration or two: a request read now would be forwarded and then cut off.
     callers_->stopReading();
     tools_.log->write(Event::Stopped, {{Attribute::Open, static_cast<std::int64_t>(callers_->openExchanges())}});
     onDrained_();
--- a/src/forwarding/internal/serverpool.cpp
+++ b/src/forwarding/internal/serverpool.cpp
@@ -6,12 +6,12 @@
 
 namespace {
 
-/// Sent bytes that a server does not acknowledge within this end the channel: a few round trips of a loaded link, and less
-/// than a caller of the shortest route waits.
+/// A channel is closed if the server does not acknowledge sent bytes within this time: a few round trips of a loaded link,
+/// and less than the shortest route's time limit.
 constexpr Duration UnackedTimeout = std::chrono::milliseconds(1000);
-/// A silent channel is probed after this; with two probes a dead server is known within three seconds.
+/// Idle time before the first TCP keep-alive probe; with two probes a dead server is detected within three seconds.
 constexpr Duration KeepAliveIdle = std::chrono::seconds(1);
-/// Bounds of a server's answer: a plain one is held whole.
+/// Limits on the size of a server's answer; an answer that is not a stream is buffered whole.
 constexpr http1::ReadLimits AnswerLimits{65536, 16u << 20};
 
 } // namespace
@@ -61,7 +61,7 @@
         if (place == entry.idle.end()) {
             return;
         }
-        // Freed by the loop: the channel is in the middle of telling us.
+        // The channel is freed by the event loop, because it is itself the caller of this handler.
         loop_.post([dying = std::move(*place)] {});
         entry.idle.erase(place);
         entry.channels--;
--- a/src/forwarding/internal/servicedemand.cpp
+++ b/src/forwarding/internal/servicedemand.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-/// Averages are over about this long: shorter than the start of a server, longer than the gaps between bursts.
+/// Time constant of the averages: shorter than the start-up time of a server, longer than the gaps between bursts.
 constexpr double AverageSeconds = 3;
 constexpr double MicrosecondsPerSecond = 1e6;
 
