--- a/src/forwarding/internal/forwardedrequestsilence.cpp
+++ b/src/forwarding/internal/forwardedrequestsilence.cpp
@@ -27,7 +27,7 @@
 Duration ForwardedRequest::silenceLimit() const
 {
     const bool waitsForFirst = !attempt_->hasFirstByte;
-    const Duration promised = waitsForFirst ? route_->latencyGoal * LatencyGoalFactor : route_->pauseGoal * PauseGoalFactor;
+    const Duration promised = waitsForFirst ? route_->latencyGoal * LatencyGoalFactor : route_->eventGapGoal * PauseGoalFactor;
     return promised.count() <= 0 ? DefaultSilence : std::clamp(promised, MinSilence, MaxSilence);
 }
 
