--- a/src/serverlimits/internal/serverratelimiter.cpp
+++ b/src/serverlimits/internal/serverratelimiter.cpp
@@ -1,6 +1,6 @@
 #include "serverlimits/serverratelimiter.h"
 
-#include "serverlimits/turnrules.h"
+#include "serverlimits/permitrules.h"
 
 #include <fmt/format.h>
 
@@ -14,33 +14,34 @@
 using eventlog::Event;
 using forwarding::AdvertisedLimit;
 
-/// More than all VMs are built to pass on: such a limit binds nobody, and its turns would only cost time.
-constexpr double MostPerSecond = 10'000;
-/// The end of a limit is told for this long: several statuses of the largest deployments.
-constexpr Duration EndToldFor = std::chrono::seconds(10);
-/// The newest that fit beside the rest of a status.
-constexpr std::size_t MostTold = 64;
-/// How much older than told an end may be: its way here is not in its age. The limit may have been named anew since.
-constexpr Duration EndDoubt = std::chrono::milliseconds(300);
-/// What was told of a server that is not in the list here is kept for this long: the list may lag.
-constexpr Duration UnlistedKeptFor = std::chrono::seconds(30);
+/// More than all VMs together are designed to forward: a higher limit has no effect, and its permits would only cost time.
+constexpr double MaxRequestsPerSecond = 10'000;
+/// The end of a limit is repeated in statuses for this long: several statuses in the largest deployments.
+constexpr Duration EndShareDuration = std::chrono::seconds(10);
+/// The latest limits only, so that they fit into a status beside its other fields.
+constexpr std::size_t MaxSharedLimits = 64;
+/// Added to the age of a reported end, which does not include the time that its status was in transit. The server may have
+/// advertised a limit again in that time.
+constexpr Duration EndAgeMargin = std::chrono::milliseconds(300);
+/// The state of a server that is not in the directory here is kept for this long, since the directory may lag behind.
+constexpr Duration UnlistedRetention = std::chrono::seconds(30);
 
 } // namespace
 
 ServerRateLimiter::ServerRateLimiter(ServerRateLimiterTools tools)
     : tools_(std::move(tools))
-    , own_(presence::nameHash(tools_.instance))
+    , ownHash_(presence::nameHash(tools_.instance))
 {
 }
 
 std::shared_ptr<ServerRateLimiter> ServerRateLimiter::create(ServerRateLimiterTools tools)
 {
-    std::shared_ptr<ServerRateLimiter> keeper(new ServerRateLimiter(std::move(tools)));
-    keeper->tick();
-    return keeper;
+    std::shared_ptr<ServerRateLimiter> limiter(new ServerRateLimiter(std::move(tools)));
+    limiter->tick();
+    return limiter;
 }
 
-const ServerRateLimiter::Known *ServerRateLimiter::limited(const std::string &instance) const
+const ServerRateLimiter::ServerState *ServerRateLimiter::findLimited(const std::string &instance) const
 {
     if (servers_.empty()) {
         return nullptr;
@@ -51,118 +52,120 @@
 
 bool ServerRateLimiter::hasRoom(const std::string &instance)
 {
-    if (!limited(instance)) {
+    if (!findLimited(instance)) {
         return true;
     }
     const auto now = tools_.storeNow();
     if (!now || vms_.empty()) {
         return false;
     }
-    TurnBook &book = servers_.at(presence::nameHash(instance)).book;
-    takeTurns(book, vms_, own_, *now);
-    return !book.own.empty();
+    PermitSchedule &schedule = servers_.at(presence::nameHash(instance)).schedule;
+    collectPermits(schedule, vms_, ownHash_, *now);
+    return !schedule.permits.empty();
 }
 
 void ServerRateLimiter::noteSent(const std::string &instance)
 {
-    if (limited(instance)) {
-        useTurn(servers_.at(presence::nameHash(instance)).book);
+    if (findLimited(instance)) {
+        usePermit(servers_.at(presence::nameHash(instance)).schedule);
     }
 }
 
-void ServerRateLimiter::noteAnswer(const std::string &instance, const AdvertisedLimit &statement, TimePoint sentAt)
+void ServerRateLimiter::noteAnswer(const std::string &instance, const AdvertisedLimit &limit, TimePoint sentAt)
 {
-    if (statement.kind == AdvertisedLimit::Kind::Unknown) {
+    if (limit.kind == AdvertisedLimit::Kind::Unknown) {
         return;
     }
     const std::uint64_t server = presence::nameHash(instance);
-    const bool isLimited = statement.kind == AdvertisedLimit::Kind::Limited && statement.requestsPerSecond <= MostPerSecond;
-    if (isLimited || mayEnd(server, sentAt)) {
-        take({server, isLimited, statement.requestsPerSecond, tools_.loop->now(), {}});
+    const bool isLimited = limit.kind == AdvertisedLimit::Kind::Limited && limit.requestsPerSecond <= MaxRequestsPerSecond;
+    if (isLimited || canEndLimit(server, sentAt)) {
+        apply({server, isLimited, limit.requestsPerSecond, tools_.loop->now(), {}});
     }
 }
 
-// NOTE An answer may have been made before the limit was named that another VM heard of. Only one to a request that was sent
-// after that ends it. Answers after the end are taken too for as long as it is told: newer ones convince who doubts it.
-bool ServerRateLimiter::mayEnd(std::uint64_t server, TimePoint sentAt) const
+// NOTE The server may have sent an answer without a limit before it advertised the limit that another VM knows of. So only an
+// answer to a request that was sent after the limit was observed ends it. Answers after the end are applied too while the end
+// is shared: newer observations convince VMs that took the first one for older than the limit.
+bool ServerRateLimiter::canEndLimit(std::uint64_t server, TimePoint sentAt) const
 {
     const auto found = servers_.find(server);
-    if (found == servers_.end() || sentAt < found->second.heardAt) {
+    if (found == servers_.end() || sentAt < found->second.observedAt) {
         return false;
     }
-    return found->second.isLimited || isEndTold(found->second);
+    return found->second.isLimited || isEndShared(found->second);
 }
 
-bool ServerRateLimiter::isEndTold(const Known &known) const
+bool ServerRateLimiter::isEndShared(const ServerState &state) const
 {
-    return tools_.loop->now() - known.changedAt < EndToldFor;
+    return tools_.loop->now() - state.changedAt < EndShareDuration;
 }
 
 std::optional<double> ServerRateLimiter::requestsPerSecond(const std::string &instance) const
 {
-    const Known *known = limited(instance);
-    return known ? std::optional(known->book.perSecond) : std::nullopt;
+    const ServerState *state = findLimited(instance);
+    return state ? std::optional(state->schedule.requestsPerSecond) : std::nullopt;
 }
 
 double ServerRateLimiter::ownRequestsPerSecond(const std::string &instance) const
 {
-    const Known *known = limited(instance);
-    return known && !vms_.empty() ? known->book.perSecond / static_cast<double>(vms_.size()) : 0;
+    const ServerState *state = findLimited(instance);
+    return state && !vms_.empty() ? state->schedule.requestsPerSecond / static_cast<double>(vms_.size()) : 0;
 }
 
-void ServerRateLimiter::take(const Word &word)
+void ServerRateLimiter::apply(const Observation &observation)
 {
-    const auto [place, isNew] = servers_.try_emplace(word.server);
-    Known &known = place->second;
-    if (!isNew && word.heardAt < known.heardAt) {
+    const auto [entry, isNew] = servers_.try_emplace(observation.server);
+    ServerState &state = entry->second;
+    if (!isNew && observation.observedAt < state.observedAt) {
         return;
     }
-    const bool isChange = known.isLimited != word.isLimited || (word.isLimited && known.book.perSecond != word.perSecond);
+    const bool isChange =
+        state.isLimited != observation.isLimited || (observation.isLimited && state.schedule.requestsPerSecond != observation.requestsPerSecond);
     if (isChange) {
-        logChange(word, known);
-        known.changedAt = tools_.loop->now();
+        logChange(observation, state);
+        state.changedAt = tools_.loop->now();
     }
-    known.isLimited = word.isLimited;
-    known.heardAt = word.heardAt;
-    known.isOwn = word.from.empty();
-    known.book.server = word.server;
-    if (!word.isLimited) {
-        known.book = {};
+    state.isLimited = observation.isLimited;
+    state.observedAt = observation.observedAt;
+    state.isLocal = observation.source.empty();
+    state.schedule.server = observation.server;
+    if (!observation.isLimited) {
+        state.schedule = {};
     } else if (isChange) {
-        changeRate(known.book, word.perSecond);
+        changeRate(state.schedule, observation.requestsPerSecond);
     }
 }
 
-void ServerRateLimiter::changeRate(TurnBook &book, double perSecond)
+void ServerRateLimiter::changeRate(PermitSchedule &schedule, double requestsPerSecond)
 {
     const auto now = tools_.storeNow();
-    if (now && book.seen) {
-        // What came at the rate before, since it was last looked at.
-        takeTurns(book, vms_, own_, *now);
+    if (now && schedule.lastCollected) {
+        // The permits issued at the old rate since the last call.
+        collectPermits(schedule, vms_, ownHash_, *now);
     }
-    setRate(book, perSecond, now);
+    setRate(schedule, requestsPerSecond, now);
 }
 
-std::vector<presence::ServerLimit> ServerRateLimiter::told() const
+std::vector<presence::ServerLimit> ServerRateLimiter::limitsToShare() const
 {
     const TimePoint now = tools_.loop->now();
     std::vector<presence::ServerLimit> limits;
-    for (const auto &[server, known] : servers_) {
-        if (known.isOwn && (known.isLimited || isEndTold(known))) {
-            limits.push_back({server, known.isLimited, known.book.perSecond, now - known.heardAt});
+    for (const auto &[server, state] : servers_) {
+        if (state.isLocal && (state.isLimited || isEndShared(state))) {
+            limits.push_back({server, state.isLimited, state.schedule.requestsPerSecond, now - state.observedAt});
         }
     }
     std::sort(limits.begin(), limits.end(), [](const auto &a, const auto &b) { return a.age < b.age; });
-    limits.resize(std::min(limits.size(), MostTold));
+    limits.resize(std::min(limits.size(), MaxSharedLimits));
     return limits;
 }
 
-void ServerRateLimiter::takeTold(const std::string &vm, const std::vector<presence::ServerLimit> &limits)
+void ServerRateLimiter::applyPeerLimits(const std::string &vm, const std::vector<presence::ServerLimit> &limits)
 {
     const TimePoint now = tools_.loop->now();
     for (const presence::ServerLimit &limit : limits) {
-        const TimePoint heardAt = now - limit.age - (limit.isLimited ? Duration(0) : EndDoubt);
-        take({limit.server, limit.isLimited, limit.perSecond, heardAt, vm});
+        const TimePoint observedAt = now - limit.age - (limit.isLimited ? Duration(0) : EndAgeMargin);
+        apply({limit.server, limit.isLimited, limit.perSecond, observedAt, vm});
     }
 }
 
@@ -177,7 +180,7 @@
         return;
     }
     const TimePoint now = tools_.loop->now();
-    std::erase_if(servers_, [&](const auto &entry) { return !tools_.directory->findHashed(entry.first) && now - entry.second.heardAt > UnlistedKeptFor; });
+    std::erase_if(servers_, [&](const auto &entry) { return !tools_.directory->findHashed(entry.first) && now - entry.second.observedAt > UnlistedRetention; });
 }
 
 std::size_t ServerRateLimiter::limitedServers() const
@@ -187,20 +190,20 @@
 
 std::string ServerRateLimiter::nameOf(std::uint64_t server) const
 {
-    const auto known = tools_.directory->findHashed(server);
-    return known ? known->server.instance : std::string();
+    const auto listed = tools_.directory->findHashed(server);
+    return listed ? listed->server.instance : std::string();
 }
 
-void ServerRateLimiter::logChange(const Word &word, const Known &before) const
+void ServerRateLimiter::logChange(const Observation &observation, const ServerState &before) const
 {
-    const std::string limit = word.isLimited ? fmt::format("{}", word.perSecond) : std::string();
-    const std::string_view outcome = !word.isLimited ? "ended" : before.isLimited ? "changed" : "named";
+    const std::string limit = observation.isLimited ? fmt::format("{}", observation.requestsPerSecond) : std::string();
+    const std::string_view outcome = !observation.isLimited ? "ended" : before.isLimited ? "changed" : "named";
     tools_.log->write(Event::ServerLimited,
-        {{Attribute::Server, nameOf(word.server)},
+        {{Attribute::Server, nameOf(observation.server)},
             {Attribute::Outcome, outcome},
             {Attribute::Limit, limit},
-            {Attribute::Source, word.from.empty() ? std::string_view("answer") : word.from},
-            {Attribute::AgeMs, std::chrono::duration_cast<std::chrono::milliseconds>(tools_.loop->now() - word.heardAt).count()}});
+            {Attribute::Source, observation.source.empty() ? std::string_view("answer") : observation.source},
+            {Attribute::AgeMs, std::chrono::duration_cast<std::chrono::milliseconds>(tools_.loop->now() - observation.observedAt).count()}});
 }
 
 } // namespace cardamomlift::serverlimits
--- a/src/serverlimits/serverlimitsmodule.cpp
+++ b/src/serverlimits/serverlimitsmodule.cpp
@@ -9,10 +9,10 @@
 
 namespace {
 
-/// How often the list of VMs is read.
+/// How often the list of VMs is updated and unlisted servers are removed.
 constexpr Duration TickPeriod = std::chrono::milliseconds(500);
 
-/// All VMs of the deployment; empty until their rows have been read.
+/// The names of all VMs of the deployment; empty until their rows have been read.
 std::vector<std::string> vmNames(const presence::Presence &presence)
 {
     if (!presence.vmCount()) {
@@ -25,7 +25,7 @@
     return names;
 }
 
-/// A VM's part in the limits that backend servers name.
+/// Enforces the rate limits that backend servers advertise.
 class ServerLimitsModule : public Module
 {
 public:
@@ -59,12 +59,12 @@
             return vmNames(*presence);
         };
         EventLoop *loop = tools.loop;
-        const auto keeper = ServerRateLimiter::create(std::move(tools));
-        context.set<forwarding::ServerLimitGate>(keeper);
-        presence->contribute([keeper](presence::Status &status) { status.limits = keeper->told(); });
-        presence->onStatus([keeper](const presence::Status &status, std::optional<TimePoint>) { keeper->takeTold(status.instance, status.limits); });
-        loop->every(TickPeriod, [keeper] { keeper->tick(); });
-        context.get<metrics::Metrics>()->gauge("servers_limited", [keeper] { return static_cast<double>(keeper->limitedServers()); });
+        const auto limiter = ServerRateLimiter::create(std::move(tools));
+        context.set<forwarding::ServerLimitGate>(limiter);
+        presence->contribute([limiter](presence::Status &status) { status.limits = limiter->limitsToShare(); });
+        presence->onStatus([limiter](const presence::Status &status, std::optional<TimePoint>) { limiter->applyPeerLimits(status.instance, status.limits); });
+        loop->every(TickPeriod, [limiter] { limiter->tick(); });
+        context.get<metrics::Metrics>()->gauge("servers_limited", [limiter] { return static_cast<double>(limiter->limitedServers()); });
         return success();
     }
 };
--- a/src/serverlimits/serverlimittypes.h
+++ b/src/serverlimits/serverlimittypes.h
@@ -8,14 +8,14 @@
 
 namespace cardamomlift::serverlimits {
 
-/// One VM's books on one server that has named a limit. The requests that the server takes from all VMs are turns: they come
-/// at even intervals of the store's clock, which all VMs know, and each belongs to one VM. So the VMs hold to the limit without
-/// a word between them, however many they are and whatever is asked of each.
-struct TurnBook {
+/// One VM's permits for one server that has advertised a rate limit. A permit allows one request. The server's permits for all
+/// VMs are issued at even intervals of the store's clock, which all VMs know, and each belongs to one VM. So the VMs keep to the
+/// limit without communicating, whatever their number and the demand at each of them.
+struct PermitSchedule {
     std::uint64_t server = 0; ///< Hash of the instance.
-    double perSecond = 0; ///< Turns of all VMs.
-    std::optional<std::int64_t> seen; ///< The newest turn that was looked at; empty: none yet.
-    std::deque<Duration> own; ///< When this VM's turns came that it has not used, by the store's clock; oldest first.
+    double requestsPerSecond = 0; ///< The limit, for all VMs together.
+    std::optional<std::int64_t> lastCollected; ///< Number of the last permit that collectPermits() considered; empty: none yet.
+    std::deque<Duration> permits; ///< Issue times of this VM's unused permits by the store's clock, oldest first.
 };
 
 } // namespace cardamomlift::serverlimits
--- a/src/serverlimits/tests/limitmodel.h
+++ b/src/serverlimits/tests/limitmodel.h
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "allowance/allowancerules.h"
-#include "serverlimits/turnrules.h"
+#include "serverlimits/permitrules.h"
 
 #include <algorithm>
 #include <cmath>
@@ -12,37 +12,37 @@
 
 namespace cardamomlift::serverlimits::model {
 
-/// How the VMs hold to a server's limit.
-enum class Way {
-    Turns, ///< The product's: turnrules.h.
-    EvenShares, ///< Each VM has a token bucket of an even share, of one request.
-    Allowance, ///< Each VM keeps an account of one bucket for all, by what the others tell: allowancerules.h.
+/// How the VMs enforce a server's limit.
+enum class Strategy {
+    Permits, ///< The implementation in use: permitrules.h.
+    EvenShares, ///< Each VM has a token bucket that refills with an even share of the limit and holds one request.
+    Allowance, ///< Each VM estimates one token bucket for all VMs from the others' statuses: allowancerules.h.
 };
 
-/// A fleet before one server that has named a limit.
+/// A number of VMs and one server that has advertised a limit.
 struct Scenario {
-    Way way = Way::Turns;
+    Strategy strategy = Strategy::Permits;
     std::size_t vms = 9;
-    double perSecond = 1;
-    double askedPerSecond = 20; ///< Of all VMs together; what does not pass goes elsewhere.
-    double unevenness = 0; ///< 1: the busiest VMs get several times the mean.
-    Duration clockError = std::chrono::milliseconds(20); ///< Of each VM's view of the store's clock, at most.
-    double burstFactor = 1; ///< Ten seconds in the middle, in which so many times as much is asked.
-    int joining = 0; ///< VMs that come in the middle; the others learn of each within a second.
-    int restarts = 0; ///< VMs that are killed one after the other, and lose what they knew for a second.
-    double namesAnew = 0; ///< A second: the limit changes by up to a tenth, which each VM learns within a second.
+    double perSecond = 1; ///< The limit.
+    double demandPerSecond = 20; ///< Requests at all VMs together; those not allowed go to other servers.
+    double unevenness = 0; ///< At 1, the busiest VMs get several times the mean demand.
+    Duration clockError = std::chrono::milliseconds(20); ///< The largest error of a VM's estimate of the store's clock.
+    double burstFactor = 1; ///< Factor on the demand during ten seconds in the middle.
+    int joining = 0; ///< VMs that join in the middle. The others learn of each within a second.
+    int restarts = 0; ///< VMs that are killed one after the other and know no limit for a second.
+    double limitChangesPerSecond = 0; ///< How often the limit changes, by up to a tenth. Each VM learns of it within a second.
     int seconds = 120;
     unsigned seed = 1;
 };
 
-/// What the server got.
+/// The requests that the server received.
 struct Outcome {
-    std::size_t mostInWindow = 0; ///< In any four seconds.
-    double usedPart = 0; ///< Of what the limit allows over all the time.
+    std::size_t maxInWindow = 0; ///< The most in any four seconds.
+    double usedShare = 0; ///< Share of the requests that the limit allows in the whole simulation.
 };
 
-/// The most that a server in need bears in any four seconds.
-inline double mostAllowed(double perSecond)
+/// The most requests that an overloaded server tolerates in any four seconds.
+inline double maxAllowed(double perSecond)
 {
     constexpr double WindowSeconds = 4;
     constexpr double Overrun = 1.5;
@@ -50,14 +50,14 @@
     return Overrun * perSecond * WindowSeconds + Slack;
 }
 
-/// One play on a clock of its own, in steps of 10 ms.
-class Play
+/// Runs one scenario on a simulated clock, in steps of 10 ms.
+class Simulation
 {
 public:
-    explicit Play(const Scenario &scenario)
+    explicit Simulation(const Scenario &scenario)
         : scenario_(scenario)
         , random_(scenario.seed)
-        , rate_(scenario.perSecond)
+        , currentRate_(scenario.perSecond)
     {
         const std::size_t all = scenario.vms + static_cast<std::size_t>(scenario.joining);
         for (std::size_t i = 0; i < all; i++) {
@@ -67,83 +67,83 @@
 
     Outcome run()
     {
-        for (now_ = start(); now_ < end(); now_ += Step) {
-            changeFleet();
-            nameAnew();
+        for (now_ = startTime(); now_ < endTime(); now_ += Step) {
+            restartVms();
+            changeLimit();
             for (std::size_t i = 0; i < vms_.size(); i++) {
-                ask(vms_[i]);
-                tell(i);
+                sendRequests(vms_[i]);
+                sendStatus(i);
             }
         }
-        outcome_.usedPart = static_cast<double>(passed_) / (scenario_.perSecond * scenario_.seconds);
+        outcome_.usedShare = static_cast<double>(passed_) / (scenario_.perSecond * scenario_.seconds);
         return outcome_;
     }
 
 private:
     struct Vm {
-        std::uint64_t name = 0;
+        std::uint64_t nameHash = 0;
         double weight = 1;
         Duration clockError{0};
         TimePoint joinsAt;
-        TimePoint knownAt; ///< When the others know of it.
-        TimePoint deafUntil; ///< It has just started and knows of no limit.
-        double rate = 0; ///< The limit as it knows it.
-        TimePoint learnsAt; ///< Of another rate.
-        TurnBook book;
-        double tokens = 0;
+        TimePoint knownToOthersAt; ///< When the other VMs learn of it.
+        TimePoint unawareUntil; ///< It was started recently and knows no limit until then.
+        double knownRate = 0; ///< The limit known to this VM.
+        TimePoint learnsLimitAt; ///< When it learns of a changed limit; zero: no change is due.
+        PermitSchedule schedule;
+        double bucketTokens = 0;
         allowance::Account account;
-        TimePoint tellsAt;
+        TimePoint nextStatusAt;
     };
     static constexpr Duration Step = std::chrono::milliseconds(10);
     static constexpr Duration Window = std::chrono::seconds(4);
 
-    static TimePoint start()
+    static TimePoint startTime()
     {
         return TimePoint(std::chrono::hours(1));
     }
-    TimePoint end() const
+    TimePoint endTime() const
     {
-        return start() + std::chrono::seconds(scenario_.seconds);
+        return startTime() + std::chrono::seconds(scenario_.seconds);
     }
-    TimePoint middle() const
+    TimePoint midTime() const
     {
-        return start() + std::chrono::seconds(scenario_.seconds) / 2;
+        return startTime() + std::chrono::seconds(scenario_.seconds) / 2;
     }
     double uniform(double from, double to)
     {
         return std::uniform_real_distribution<double>(from, to)(random_);
     }
-    Duration randomTime(Duration most)
+    Duration randomTime(Duration maxTime)
     {
-        return Duration(static_cast<std::int64_t>(uniform(0, static_cast<double>(most.count()))));
+        return Duration(static_cast<std::int64_t>(uniform(0, static_cast<double>(maxTime.count()))));
     }
 
     Vm makeVm(std::size_t index)
     {
         Vm vm;
-        vm.name = random_();
+        vm.nameHash = random_();
         vm.weight = std::exp(std::normal_distribution<double>(0, 1)(random_) * scenario_.unevenness);
         vm.clockError = randomTime(2 * scenario_.clockError) - scenario_.clockError;
-        vm.joinsAt = index < scenario_.vms ? start() : middle();
-        vm.knownAt = vm.joinsAt + (index < scenario_.vms ? Duration(0) : randomTime(std::chrono::seconds(1)));
-        vm.tellsAt = vm.joinsAt + randomTime(period());
-        learn(vm, vm.joinsAt);
+        vm.joinsAt = index < scenario_.vms ? startTime() : midTime();
+        vm.knownToOthersAt = vm.joinsAt + (index < scenario_.vms ? Duration(0) : randomTime(std::chrono::seconds(1)));
+        vm.nextStatusAt = vm.joinsAt + randomTime(statusPeriod());
+        setLimit(vm, vm.joinsAt);
         return vm;
     }
 
-    /// The limit, from an answer or from the others.
-    void learn(Vm &vm, TimePoint at)
+    /// The VM learns the limit from an answer or another VM's status.
+    void setLimit(Vm &vm, TimePoint at)
     {
-        vm.rate = rate_;
-        vm.book.server = Server;
-        setRate(vm.book, vm.rate, storeTime(vm, at));
-        vm.tokens = uniform(0, 1);
+        vm.knownRate = currentRate_;
+        vm.schedule.server = Server;
+        setRate(vm.schedule, vm.knownRate, storeTime(vm, at));
+        vm.bucketTokens = uniform(0, 1);
         vm.account.beganAt = at;
         vm.account.updatedAt = at;
         vm.account.turn = uniform(0, 1);
     }
 
-    Duration period() const
+    Duration statusPeriod() const
     {
         constexpr std::size_t OneGroup = 24;
         return std::chrono::milliseconds(vms_.size() <= OneGroup && scenario_.vms <= OneGroup ? 350 : 1050);
@@ -154,43 +154,43 @@
         return at.time_since_epoch() + vm.clockError;
     }
 
-    bool isThere(const Vm &vm) const
+    bool isActive(const Vm &vm) const
     {
-        return now_ >= vm.joinsAt && now_ >= vm.deafUntil;
+        return now_ >= vm.joinsAt && now_ >= vm.unawareUntil;
     }
 
-    void changeFleet()
+    void restartVms()
     {
         for (int i = 0; i < scenario_.restarts; i++) {
-            const TimePoint at = middle() + std::chrono::milliseconds(700) * i;
+            const TimePoint at = midTime() + std::chrono::milliseconds(700) * i;
             Vm &vm = vms_[static_cast<std::size_t>(i) % vms_.size()];
             if (now_ - at < Step && now_ >= at) {
                 const Vm before = vm;
                 vm = makeVm(0);
-                vm.name = before.name;
+                vm.nameHash = before.nameHash;
                 vm.weight = before.weight;
-                vm.deafUntil = now_ + std::chrono::seconds(1);
+                vm.unawareUntil = now_ + std::chrono::seconds(1);
                 vm.joinsAt = before.joinsAt;
-                vm.knownAt = before.knownAt;
-                learn(vm, vm.deafUntil);
+                vm.knownToOthersAt = before.knownToOthersAt;
+                setLimit(vm, vm.unawareUntil);
             }
         }
     }
 
-    void nameAnew()
+    void changeLimit()
     {
-        if (scenario_.namesAnew > 0 && uniform(0, 1) < scenario_.namesAnew * stepSeconds()) {
-            rate_ = scenario_.perSecond * uniform(0.9, 1.0);
+        if (scenario_.limitChangesPerSecond > 0 && uniform(0, 1) < scenario_.limitChangesPerSecond * stepSeconds()) {
+            currentRate_ = scenario_.perSecond * uniform(0.9, 1.0);
             for (Vm &vm : vms_) {
-                vm.learnsAt = now_ + randomTime(std::chrono::seconds(1));
+                vm.learnsLimitAt = now_ + randomTime(std::chrono::seconds(1));
             }
         }
         for (Vm &vm : vms_) {
-            if (vm.learnsAt != TimePoint() && now_ >= vm.learnsAt) {
-                vm.learnsAt = TimePoint();
-                vm.rate = rate_;
-                takeTurnsOf(vm);
-                setRate(vm.book, vm.rate, storeTime(vm, now_));
+            if (vm.learnsLimitAt != TimePoint() && now_ >= vm.learnsLimitAt) {
+                vm.learnsLimitAt = TimePoint();
+                vm.knownRate = currentRate_;
+                collectPermitsOf(vm);
+                setRate(vm.schedule, vm.knownRate, storeTime(vm, now_));
             }
         }
     }
@@ -200,38 +200,38 @@
         return std::chrono::duration<double>(Step).count();
     }
 
-    void ask(Vm &vm)
+    void sendRequests(Vm &vm)
     {
-        if (!isThere(vm)) {
+        if (!isActive(vm)) {
             return;
         }
-        const bool isBurst = now_ >= middle() && now_ - middle() < std::chrono::seconds(10);
+        const bool isBurst = now_ >= midTime() && now_ - midTime() < std::chrono::seconds(10);
         double weights = 0;
         for (const Vm &other : vms_) {
             weights += now_ >= other.joinsAt ? other.weight : 0;
         }
-        const double asked = scenario_.askedPerSecond * (isBurst ? scenario_.burstFactor : 1) * vm.weight / weights;
-        vm.tokens = std::min(1.0, vm.tokens + vm.rate * stepSeconds() / static_cast<double>(vms_.size()));
-        const int count = std::poisson_distribution<int>(asked * stepSeconds())(random_);
+        const double demand = scenario_.demandPerSecond * (isBurst ? scenario_.burstFactor : 1) * vm.weight / weights;
+        vm.bucketTokens = std::min(1.0, vm.bucketTokens + vm.knownRate * stepSeconds() / static_cast<double>(vms_.size()));
+        const int count = std::poisson_distribution<int>(demand * stepSeconds())(random_);
         for (int i = 0; i < count; i++) {
             if (passes(vm)) {
-                notePassed();
+                recordPassed();
             }
         }
     }
 
     bool passes(Vm &vm)
     {
-        switch (scenario_.way) {
-        case Way::Turns:
-            return passesByTurn(vm);
-        case Way::EvenShares: {
-            const bool fits = vm.tokens >= 1;
-            vm.tokens -= fits ? 1 : 0;
-            return fits;
+        switch (scenario_.strategy) {
+        case Strategy::Permits:
+            return passesByPermit(vm);
+        case Strategy::EvenShares: {
+            const bool isAllowed = vm.bucketTokens >= 1;
+            vm.bucketTokens -= isAllowed ? 1 : 0;
+            return isAllowed;
         }
-        case Way::Allowance: {
-            const manifest::Allowance limit{vm.rate, 3 + vm.rate, false, 1};
+        case Strategy::Allowance: {
+            const manifest::Allowance limit{vm.knownRate, 3 + vm.knownRate, false, 1};
             allowance::noteAsked(vm.account, 1, now_);
             allowance::refill(vm.account, limit, vms_.size(), now_);
             return allowance::take(vm.account, limit, 1, now_);
@@ -240,33 +240,33 @@
         return false;
     }
 
-    bool passesByTurn(Vm &vm)
+    bool passesByPermit(Vm &vm)
     {
-        takeTurnsOf(vm);
-        const bool fits = !vm.book.own.empty();
-        useTurn(vm.book);
-        return fits;
+        collectPermitsOf(vm);
+        const bool isAllowed = !vm.schedule.permits.empty();
+        usePermit(vm.schedule);
+        return isAllowed;
     }
 
-    void takeTurnsOf(Vm &vm)
+    void collectPermitsOf(Vm &vm)
     {
-        known_.clear();
+        knownVms_.clear();
         for (const Vm &other : vms_) {
-            if (now_ >= other.knownAt || (&other == &vm)) {
-                known_.push_back(other.name);
+            if (now_ >= other.knownToOthersAt || (&other == &vm)) {
+                knownVms_.push_back(other.nameHash);
             }
         }
-        std::sort(known_.begin(), known_.end());
-        takeTurns(vm.book, known_, vm.name, storeTime(vm, now_));
+        std::sort(knownVms_.begin(), knownVms_.end());
+        collectPermits(vm.schedule, knownVms_, vm.nameHash, storeTime(vm, now_));
     }
 
-    void tell(std::size_t index)
+    void sendStatus(std::size_t index)
     {
         Vm &vm = vms_[index];
-        if (scenario_.way != Way::Allowance || !isThere(vm) || now_ < vm.tellsAt) {
+        if (scenario_.strategy != Strategy::Allowance || !isActive(vm) || now_ < vm.nextStatusAt) {
             return;
         }
-        vm.tellsAt = now_ + period();
+        vm.nextStatusAt = now_ + statusPeriod();
         const allowance::PeerUse use{1, vm.account.taken, allowance::askedNow(vm.account, now_), now_, now_ - vm.account.beganAt, false};
         for (std::size_t i = 0; i < vms_.size(); i++) {
             if (i != index) {
@@ -275,22 +275,22 @@
         }
     }
 
-    void notePassed()
+    void recordPassed()
     {
         passed_++;
         arrivals_.push_back(now_);
         while (now_ - arrivals_.front() > Window) {
             arrivals_.pop_front();
         }
-        outcome_.mostInWindow = std::max(outcome_.mostInWindow, arrivals_.size());
+        outcome_.maxInWindow = std::max(outcome_.maxInWindow, arrivals_.size());
     }
 
     static constexpr std::uint64_t Server = 77;
     Scenario scenario_;
     std::mt19937_64 random_;
-    double rate_;
+    double currentRate_;
     std::vector<Vm> vms_;
-    std::vector<std::uint64_t> known_;
+    std::vector<std::uint64_t> knownVms_;
     TimePoint now_;
     std::deque<TimePoint> arrivals_;
     std::size_t passed_ = 0;
--- a/src/serverlimits/tests/serverratelimiter_test.cpp
+++ b/src/serverlimits/tests/serverratelimiter_test.cpp
@@ -18,7 +18,7 @@
     return {AdvertisedLimit::Kind::Limited, perSecond};
 }
 
-/// Two VMs before one server, on a paused clock.
+/// Two VMs that send to the same server, on a paused clock.
 class ServerRateLimiterTest : public testing::Test
 {
 protected:
@@ -71,23 +71,23 @@
         return loop_->now();
     }
 
-    /// Requests that a VM may send in some time, if it sends as many as it may.
-    int sent(ServerRateLimiter &keeper, Duration time)
+    /// Returns the number of requests that a VM can send in @p time.
+    int sendAllowed(ServerRateLimiter &limiter, Duration time)
     {
         int count = 0;
         for (Duration passed(0); passed < time; passed += milliseconds(10)) {
             pass(milliseconds(10));
-            if (keeper.hasRoom("server")) {
-                keeper.noteSent("server");
+            if (limiter.hasRoom("server")) {
+                limiter.noteSent("server");
                 count++;
             }
         }
         return count;
     }
 
-    void tell(const ServerRateLimiter &from, ServerRateLimiter &to)
+    void shareLimits(const ServerRateLimiter &from, ServerRateLimiter &to)
     {
-        to.takeTold("peer", from.told());
+        to.applyPeerLimits("peer", from.limitsToShare());
     }
 
     ManualClock clock_;
@@ -106,36 +106,36 @@
     one_->noteAnswer("server", Unlimited, now());
     EXPECT_TRUE(one_->hasRoom("server"));
     EXPECT_FALSE(one_->requestsPerSecond("server"));
-    EXPECT_TRUE(one_->told().empty());
+    EXPECT_TRUE(one_->limitsToShare().empty());
 }
 
-TEST_F(ServerRateLimiterTest, AVmGetsItsPartOfTheLimit)
+TEST_F(ServerRateLimiterTest, AVmGetsItsShareOfTheLimit)
 {
     one_->noteAnswer("server", limited(1), now());
     EXPECT_EQ(one_->requestsPerSecond("server"), 1);
     EXPECT_EQ(one_->ownRequestsPerSecond("server"), 0.5);
-    EXPECT_NEAR(sent(*one_, seconds(200)), 100, 25);
+    EXPECT_NEAR(sendAllowed(*one_, seconds(200)), 100, 25);
 }
 
-TEST_F(ServerRateLimiterTest, AVmHearsOfALimitFromAnother)
+TEST_F(ServerRateLimiterTest, AVmLearnsOfALimitFromAnother)
 {
     one_->noteAnswer("server", limited(1), now());
-    tell(*one_, *two_);
+    shareLimits(*one_, *two_);
     EXPECT_EQ(two_->requestsPerSecond("server"), 1);
-    EXPECT_TRUE(two_->told().empty()) << "who heard it tells it";
+    EXPECT_TRUE(two_->limitsToShare().empty()) << "only the VM that received the answer shares it";
 }
 
-TEST_F(ServerRateLimiterTest, TheNewestWordHolds)
+TEST_F(ServerRateLimiterTest, TheLatestAnswerWins)
 {
     one_->noteAnswer("server", limited(1), now());
-    const auto old = one_->told();
+    const auto old = one_->limitsToShare();
     pass(milliseconds(100));
     two_->noteAnswer("server", limited(2), now());
-    two_->takeTold("one", one_->told());
+    two_->applyPeerLimits("one", one_->limitsToShare());
     EXPECT_EQ(two_->requestsPerSecond("server"), 2);
-    tell(*two_, *one_);
+    shareLimits(*two_, *one_);
     EXPECT_EQ(one_->requestsPerSecond("server"), 2);
-    EXPECT_TRUE(one_->told().empty()) << "its own word is no longer the newest";
+    EXPECT_TRUE(one_->limitsToShare().empty()) << "its own answer is no longer the latest";
 }
 
 TEST_F(ServerRateLimiterTest, OnlyAnAnswerToALaterRequestEndsALimit)
@@ -144,7 +144,7 @@
     pass(milliseconds(100));
     one_->noteAnswer("server", limited(1), now());
     one_->noteAnswer("server", Unlimited, before);
-    EXPECT_TRUE(one_->requestsPerSecond("server")) << "that answer may have been made before";
+    EXPECT_TRUE(one_->requestsPerSecond("server")) << "that answer may have been sent before the limit was advertised";
     one_->noteAnswer("server", Unknown, now());
     EXPECT_TRUE(one_->requestsPerSecond("server"));
     pass(milliseconds(100));
@@ -153,62 +153,62 @@
     EXPECT_TRUE(one_->hasRoom("server"));
 }
 
-TEST_F(ServerRateLimiterTest, NewsFromBeforeDoesNotBringALimitBack)
+TEST_F(ServerRateLimiterTest, AnOlderReportDoesNotRestoreALimit)
 {
     one_->noteAnswer("server", limited(1), now());
-    tell(*one_, *two_);
+    shareLimits(*one_, *two_);
     pass(seconds(1));
     two_->noteAnswer("server", Unlimited, now());
     EXPECT_FALSE(two_->requestsPerSecond("server"));
-    tell(*one_, *two_);
+    shareLimits(*one_, *two_);
     EXPECT_FALSE(two_->requestsPerSecond("server"));
-    tell(*two_, *one_);
-    EXPECT_FALSE(one_->requestsPerSecond("server")) << "the end is told too";
+    shareLimits(*two_, *one_);
+    EXPECT_FALSE(one_->requestsPerSecond("server")) << "the end is shared too";
 }
 
-TEST_F(ServerRateLimiterTest, AnEndThatWasOnItsWayDoesNotEndALimitThatWasNamedAnew)
+TEST_F(ServerRateLimiterTest, ADelayedEndDoesNotEndALimitThatWasAdvertisedAgain)
 {
     one_->noteAnswer("server", limited(1), now());
-    tell(*one_, *two_);
+    shareLimits(*one_, *two_);
     pass(seconds(1));
     one_->noteAnswer("server", Unlimited, now());
-    const auto end = one_->told();
+    const auto end = one_->limitsToShare();
     pass(milliseconds(50));
     two_->noteAnswer("server", limited(1), now());
     pass(milliseconds(100));
-    two_->takeTold("one", end);
+    two_->applyPeerLimits("one", end);
     EXPECT_TRUE(two_->requestsPerSecond("server"));
 }
 
-TEST_F(ServerRateLimiterTest, AnEndIsBelievedAfterFurtherAnswers)
+TEST_F(ServerRateLimiterTest, AnEndIsAcceptedAfterFurtherAnswers)
 {
     one_->noteAnswer("server", limited(1), now());
     pass(milliseconds(100));
     two_->noteAnswer("server", limited(1), now());
     pass(milliseconds(50));
     one_->noteAnswer("server", Unlimited, now());
-    tell(*one_, *two_);
-    EXPECT_TRUE(two_->requestsPerSecond("server")) << "it may be the older of the two";
+    shareLimits(*one_, *two_);
+    EXPECT_TRUE(two_->requestsPerSecond("server")) << "it may be older than the limit";
     pass(milliseconds(500));
     one_->noteAnswer("server", Unlimited, now());
-    tell(*one_, *two_);
+    shareLimits(*one_, *two_);
     EXPECT_FALSE(two_->requestsPerSecond("server"));
 }
 
-TEST_F(ServerRateLimiterTest, AnEndIsToldForAWhileOnly)
+TEST_F(ServerRateLimiterTest, AnEndIsSharedForALimitedTime)
 {
     one_->noteAnswer("server", limited(1), now());
     pass(milliseconds(100));
     one_->noteAnswer("server", Unlimited, now());
-    EXPECT_EQ(one_->told().size(), 1U);
+    EXPECT_EQ(one_->limitsToShare().size(), 1U);
     for (int i = 0; i < 20; i++) {
         pass(seconds(1));
         one_->noteAnswer("server", Unlimited, now());
     }
-    EXPECT_TRUE(one_->told().empty());
+    EXPECT_TRUE(one_->limitsToShare().empty());
 }
 
-TEST_F(ServerRateLimiterTest, AnotherStartOfAServerHasNoLimit)
+TEST_F(ServerRateLimiterTest, ARestartedServerHasNoLimit)
 {
     one_->noteAnswer("server", limited(1), now());
     list("server-2");
@@ -222,15 +222,15 @@
 {
     isClockKnown_ = false;
     one_->noteAnswer("server", limited(1), now());
-    EXPECT_EQ(sent(*one_, seconds(20)), 0);
+    EXPECT_EQ(sendAllowed(*one_, seconds(20)), 0);
     isClockKnown_ = true;
     vms_.clear();
-    EXPECT_EQ(sent(*one_, seconds(20)), 0);
+    EXPECT_EQ(sendAllowed(*one_, seconds(20)), 0);
     vms_ = {"one"};
-    EXPECT_GT(sent(*one_, seconds(20)), 10);
+    EXPECT_GT(sendAllowed(*one_, seconds(20)), 10);
 }
 
-TEST_F(ServerRateLimiterTest, ALimitThatNobodyReachesBindsNobody)
+TEST_F(ServerRateLimiterTest, ALimitAboveAnyPossibleRateIsIgnored)
 {
     one_->noteAnswer("server", limited(1e300), now());
     EXPECT_TRUE(one_->hasRoom("server"));
