--- a/src/duties/tests/dutiestest.h
+++ b/src/duties/tests/dutiestest.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "duties/dutylease.h"
+#include "duties/leaderlease.h"
 #include "duties/orderkeeper.h"
 #include "duties/usagereporter.h"
 #include "rows/memoryrowstore.h"
@@ -45,7 +45,7 @@
     bool isStockOut = false; ///< Reclaimable servers are refused.
 };
 
-class RecordingApi : public DutyApi
+class RecordingApi : public LeaderApi
 {
 public:
     RecordingApi(EventLoop &loop, PlatformRecord &record)
@@ -54,18 +54,18 @@
     {
     }
 
-    void reportUsage(std::uint64_t fence, const UsageReport &report, DutyHandler handler) override
+    void reportUsage(std::uint64_t fence, const UsageReport &report, LeaderCallHandler handler) override
     {
         record_.reports[report.window].push_back(report);
         record_.fences.push_back(fence);
-        loop_.post([handler = std::move(handler), lost = record_.losesAnswers] { handler(lost ? DutyOutcome::Failed : DutyOutcome::Done); });
+        loop_.post([handler = std::move(handler), lost = record_.losesAnswers] { handler(lost ? LeaderCallOutcome::Failed : LeaderCallOutcome::Done); });
     }
 
-    void orderServers(std::uint64_t, const ServerOrder &order, DutyHandler handler) override
+    void orderServers(std::uint64_t, const ServerOrder &order, LeaderCallHandler handler) override
     {
         record_.orders.push_back(order);
         const bool isRefused = order.isReclaimable && record_.isStockOut;
-        loop_.post([handler = std::move(handler), isRefused] { handler(isRefused ? DutyOutcome::Refused : DutyOutcome::Done); });
+        loop_.post([handler = std::move(handler), isRefused] { handler(isRefused ? LeaderCallOutcome::Refused : LeaderCallOutcome::Done); });
     }
 
 private:
@@ -80,7 +80,7 @@
     std::shared_ptr<presence::Presence> presence;
     std::shared_ptr<presence::TrueTime> time;
     std::shared_ptr<usage::UsageCounter> usage;
-    std::shared_ptr<DutyLease> lease;
+    std::shared_ptr<LeaderLease> lease;
     std::shared_ptr<UsageReporter> reporter;
 };
 
@@ -91,12 +91,12 @@
     {
         loop_ = std::move(EventLoop::create(clock_).value());
         log_ = eventlog::EventLog::create(clock_, "test", [](std::string_view) { return true; });
-        manifests_ = manifest::ManifestKeeper::create();
+        manifests_ = manifest::ManifestCache::create();
         manifest::Manifest manifest;
         manifest.version = 1;
         manifest.customers.resize(1);
         manifest.customers[0].name = "customer";
-        manifests_->offer(std::move(manifest));
+        manifests_->update(std::move(manifest));
     }
 
     Vm start(const std::string &instance)
@@ -121,7 +121,7 @@
         leaseTools.presence = vm.presence;
         leaseTools.log = log_;
         leaseTools.length = Lease;
-        vm.lease = DutyLease::start(std::move(leaseTools));
+        vm.lease = LeaderLease::start(std::move(leaseTools));
         return vm;
     }
 
@@ -153,7 +153,7 @@
     ManualClock clock_;
     std::unique_ptr<EventLoop> loop_;
     std::shared_ptr<eventlog::EventLog> log_;
-    std::shared_ptr<manifest::ManifestKeeper> manifests_;
+    std::shared_ptr<manifest::ManifestCache> manifests_;
     std::shared_ptr<rows::MemoryRows> rows_ = std::make_shared<rows::MemoryRows>();
     PlatformRecord record_;
     std::uint64_t incarnations_ = 0;
--- a/src/rollout/rolloutmodule.cpp
+++ b/src/rollout/rolloutmodule.cpp
@@ -59,7 +59,7 @@
         presence_->onStatus([agent = agent_](const presence::Status &status, std::optional<TimePoint>) { agent->receiveStatus(status); });
         loop_->every(TickPeriod, [this] {
             agent_->tick();
-            watch_->setWait(agent_->isAnyUnderWay() ? WaitInRollout : UsualWait);
+            watch_->setPollWait(agent_->isAnyUnderWay() ? WaitInRollout : UsualWait);
         });
         return success();
     }
@@ -95,9 +95,9 @@
             return watch_ ? watch_->confirmedAt() : std::nullopt;
         };
         tools.hearsController = [presence = presence_, &context] {
-            const auto lease = context.find<duties::DutyLease>();
+            const auto lease = context.find<duties::LeaderLease>();
             const auto heard = presence->heardLately(std::max(JudgeHeardWithin, presence->period() * 2));
-            return (lease && lease->mayAct()) || std::any_of(heard.begin(), heard.end(), [](const presence::Peer *peer) { return peer->status->holdsLease; });
+            return (lease && lease->isHeld()) || std::any_of(heard.begin(), heard.end(), [](const presence::Peer *peer) { return peer->status->holdsLease; });
         };
         return tools;
     }
@@ -105,7 +105,7 @@
     void watchRecords(Context &context)
     {
         rows::WatchHandlers handlers;
-        handlers.onAll = [this](const rows::WholeTable &whole) {
+        handlers.onSnapshot = [this](const rows::TableSnapshot &whole) {
             agent_->applyAllRecords(whole);
         };
         handlers.onChanges = [this](const std::vector<rows::Row> &rows) {
@@ -113,7 +113,7 @@
         };
         handlers.onConfirmed = [](TimePoint) {
         };
-        handlers.onReachable = [](bool, rows::StoreFailure) {
+        handlers.onReachabilityChanged = [](bool, rows::StoreFailure) {
         };
         watch_ = rows::RowWatch::start({loop_, context.get<rows::RowStore>(), context.get<eventlog::EventLog>()}, RecordsTable, UsualWait, std::move(handlers));
         context.get<presence::TableRelay>()->add(watch_, AskAfter);
