--- a/src/forwarding/eventsplitter.h
+++ b/src/forwarding/eventsplitter.h
@@ -25,7 +25,7 @@
     std::size_t events() const;
 
 private:
-    void scanEvents(std::string_view whole);
+    void scanEvents(std::string_view wholeEvents);
     std::string incompleteEvent_;
     std::string lastId_;
     std::size_t events_ = 0;
--- a/src/forwarding/forwardingmodule.cpp
+++ b/src/forwarding/forwardingmodule.cpp
@@ -66,9 +66,9 @@
             [demand = tools.demand, loop = tools.loop](presence::Status &status) { status.services = demand->loads(loop->now()); });
         tools.peerBacklog = std::make_shared<PeerBacklog>();
         context.get<presence::Presence>()->contribute([pool](presence::Status &status) { status.works = pool->waitingTokens(); });
-        context.get<presence::Presence>()->onStatus([work = tools.peerBacklog, loop = tools.loop](const presence::Status &status, std::optional<TimePoint>) {
+        context.get<presence::Presence>()->onStatus([backlog = tools.peerBacklog, loop = tools.loop](const presence::Status &status, std::optional<TimePoint>) {
             if (!status.isPartial) {
-                work->update(status.instance, status.works, loop->now());
+                backlog->update(status.instance, status.works, loop->now());
             }
         });
         tools.vmCount = [presence = context.get<presence::Presence>()] {
--- a/src/forwarding/internal/eventsplitter.cpp
+++ b/src/forwarding/internal/eventsplitter.cpp
@@ -19,18 +19,18 @@
         return {};
     }
     const std::size_t cut = end == std::string::npos ? incompleteEvent_.size() : end + EventEnd.size();
-    std::string whole = incompleteEvent_.substr(0, cut);
+    std::string wholeEvents = incompleteEvent_.substr(0, cut);
     incompleteEvent_.erase(0, cut);
-    scanEvents(whole);
-    return whole;
+    scanEvents(wholeEvents);
+    return wholeEvents;
 }
 
-void EventSplitter::scanEvents(std::string_view whole)
+void EventSplitter::scanEvents(std::string_view wholeEvents)
 {
     std::size_t start = 0;
-    while (start < whole.size()) {
-        const std::size_t end = std::min(whole.find('\n', start), whole.size());
-        std::string_view line = whole.substr(start, end - start);
+    while (start < wholeEvents.size()) {
+        const std::size_t end = std::min(wholeEvents.find('\n', start), wholeEvents.size());
+        std::string_view line = wholeEvents.substr(start, end - start);
         start = end + 1;
         if (line.ends_with('\r')) {
             line.remove_suffix(1);
--- a/src/forwarding/internal/forwardedrequest.cpp
+++ b/src/forwarding/internal/forwardedrequest.cpp
@@ -164,12 +164,12 @@
     for (const auto &share : route_->shares) {
         sum += share.weight;
     }
-    std::uint64_t place = sum == 0 ? 0 : XXH3_64bits(request_.id.data(), request_.id.size()) % sum;
+    std::uint64_t point = sum == 0 ? 0 : XXH3_64bits(request_.id.data(), request_.id.size()) % sum;
     for (const auto &share : route_->shares) {
-        if (place < share.weight) {
+        if (point < share.weight) {
             return share.service;
         }
-        place -= share.weight;
+        point -= share.weight;
     }
     return route_->shares.front().service;
 }
@@ -221,8 +221,8 @@
         return;
     }
     if (choice.limited > 0) {
-        const Duration back = forwarder_.retryPacer_.nextDelay(service_, choice.limitedPerSecond, tools_.loop->now());
-        refuse(StatusUnavailable, FailureReason::ServersLimited, back);
+        const Duration retryAfter = forwarder_.retryPacer_.nextDelay(service_, choice.limitedPerSecond, tools_.loop->now());
+        refuse(StatusUnavailable, FailureReason::ServersLimited, retryAfter);
         return;
     }
     refuse(StatusUnavailable, sends_ == 0 ? FailureReason::NoServer : FailureReason::ServersFull, ServersFullRetryAfter);
--- a/src/forwarding/internal/forwardedrequest.h
+++ b/src/forwarding/internal/forwardedrequest.h
@@ -68,7 +68,7 @@
     void countSend(const std::string &instance);
     void endWithoutServer(const Choice &choice);
     std::vector<const directory::KnownServer *> eligibleServers(std::span<const directory::ServerPtr> usable, VersionPick pick) const;
-    void noteVersionOutcome(std::optional<Duration> firstByteAfter);
+    void noteVersionOutcome(std::optional<Duration> timeToFirstByte);
     /// The longest prefix of the prompt that a server of the service is believed to have cached.
     struct BestCache {
         std::int64_t tokens = 0; ///< Length of the prefix.
@@ -82,8 +82,8 @@
     void send(const Choice &choice);
     DispatchFields dispatchFields(const Choice &choice) const;
     void onHead(http1::ResponseHead head);
-    void onBody(std::string_view part);
-    void forwardEvents(std::string_view part);
+    void onBody(std::string_view bytes);
+    void forwardEvents(std::string_view bytes);
     void onComplete();
     void onPlainAnswer();
     void onStreamEnd();
--- a/src/forwarding/internal/forwardedrequestanswer.cpp
+++ b/src/forwarding/internal/forwardedrequestanswer.cpp
@@ -19,7 +19,7 @@
     }
 }
 
-void ForwardedRequest::onBody(std::string_view part)
+void ForwardedRequest::onBody(std::string_view bytes)
 {
     attempt_->lastByteAt = tools_.loop->now();
     tools_.pool->noteActivity(attempt_->server->server.instance);
@@ -31,16 +31,16 @@
         tools_.pool->noteFirstByte(attempt_->server->server.instance, attempt_->prefillTokens);
     }
     if (isStream() && attempt_->head.status == StatusOk && attempt_->answer.isSigned) {
-        forwardEvents(part);
+        forwardEvents(bytes);
         return;
     }
-    attempt_->body += part;
+    attempt_->body += bytes;
 }
 
-void ForwardedRequest::forwardEvents(std::string_view part)
+void ForwardedRequest::forwardEvents(std::string_view bytes)
 {
-    const std::string whole = splitter_.feed(part);
-    if (whole.empty()) {
+    const std::string events = splitter_.feed(bytes);
+    if (events.empty()) {
         return;
     }
     if (!headSent_) {
@@ -53,7 +53,7 @@
         }
         exchange_->begin(tools_.wire.writeAnswer(attempt_->head));
     }
-    exchange_->send(whole);
+    exchange_->send(events);
 }
 
 void ForwardedRequest::onComplete()
@@ -72,12 +72,12 @@
 
 void ForwardedRequest::onStreamEnd()
 {
-    const std::string rest = splitter_.incompleteEvent();
+    const std::string remainder = splitter_.incompleteEvent();
     if (!headSent_) {
         // An answer that ends without a whole event is forwarded as it is.
-        exchange_->answer(tools_.wire.writeAnswer(attempt_->head), rest);
+        exchange_->answer(tools_.wire.writeAnswer(attempt_->head), remainder);
     } else {
-        exchange_->send(rest);
+        exchange_->send(remainder);
         exchange_->end();
     }
     logAttempt("answered");
--- a/src/forwarding/internal/forwardedrequestchoice.cpp
+++ b/src/forwarding/internal/forwardedrequestchoice.cpp
@@ -77,8 +77,8 @@
     const auto usable = tools_.directory->usable(service_);
     const std::vector<prefixindex::PrefixMatch> matches = tools_.prefixes->matches(prefixes_);
     // During a rollout all servers are considered: a sample could miss the few servers that run the new version.
-    const bool isVersionTried = tools_.versions && tools_.versions->isRolloutInProgress(service_);
-    if (usable.size() > balancing::ShortListParameters().samplingThreshold && !isVersionTried) {
+    const bool isRollingOut = tools_.versions && tools_.versions->isRolloutInProgress(service_);
+    if (usable.size() > balancing::ShortListParameters().samplingThreshold && !isRollingOut) {
         Choice choice = chooseAmong(eligibleServers(shortList(usable, matches), pick_), matches);
         choice.pick = pick_;
         if (choice.server) {
@@ -99,9 +99,9 @@
     std::vector<std::uint64_t> cachingServers;
     cachingServers.reserve(matches.size());
     std::transform(matches.begin(), matches.end(), std::back_inserter(cachingServers), [](const auto &match) { return match.server; });
-    const std::string shared = affinity();
+    const std::string sharedPart = affinity();
     balancing::ShortListInput input;
-    input.affinity = shared;
+    input.affinity = sharedPart;
     input.cachingServers = cachingServers;
     input.salt = salt();
     return balancing::shortList(usable, input, {});
@@ -148,10 +148,10 @@
         candidates.push_back(candidateOf(*server, matches));
         choice.outliers += candidates.back().isOutlier ? 1 : 0;
     }
-    const std::string shared = affinity();
+    const std::string sharedPart = affinity();
     balancing::ChoiceInput input;
     input.zone = tools_.settings.zone;
-    input.affinity = shared;
+    input.affinity = sharedPart;
     input.promptTokens = request_.promptTokens;
     input.fetchableTokens = findBestCache(matches, {}).tokens;
     input.salt = salt();
@@ -166,15 +166,15 @@
 }
 
 // After a restart this VM does not know which servers have cached a prefix. Earlier requests of the same affinity went to
-// its home servers, so the highest-ranked one besides the chosen server is the likeliest to have it.
+// its affinity servers, so the highest-ranked one besides the chosen server is the likeliest to have it.
 directory::ServerPtr ForwardedRequest::likelyCacheHolder(const std::string &except) const
 {
-    const std::string shared = affinity();
-    const balancing::RendezvousRanker ranker(shared);
+    const std::string sharedPart = affinity();
+    const balancing::RendezvousRanker ranker(sharedPart);
     directory::ServerPtr best;
     std::uint64_t bestRank = 0;
     for (const auto &[instance, known] : tools_.directory->all()) {
-        if (shared.empty() || instance == except) {
+        if (sharedPart.empty() || instance == except) {
             continue;
         }
         const std::uint64_t rank = ranker.rank(instance);
@@ -188,16 +188,16 @@
 
 void ForwardedRequest::planPrefill(Choice &choice, std::span<const prefixindex::PrefixMatch> matches) const
 {
-    std::int64_t known = choice.cachedTokens;
-    const BestCache elsewhere = findBestCache(matches, choice.server->server.instance);
-    if (elsewhere.tokens - choice.cachedTokens >= MinFetchTokens) {
-        choice.kvFetchFrom = http1::formatEndpoint(elsewhere.holder->server.endpoint);
-        known = elsewhere.tokens;
+    std::int64_t available = choice.cachedTokens;
+    const BestCache other = findBestCache(matches, choice.server->server.instance);
+    if (other.tokens - choice.cachedTokens >= MinFetchTokens) {
+        choice.kvFetchFrom = http1::formatEndpoint(other.holder->server.endpoint);
+        available = other.tokens;
     } else if (choice.cachedTokens == 0 && !prefixes_.empty() && prefixes_.back().tokens >= MinFetchTokens) {
         const directory::ServerPtr holder = likelyCacheHolder(choice.server->server.instance);
         choice.kvFetchFrom = holder ? http1::formatEndpoint(holder->server.endpoint) : std::string();
     }
-    choice.prefillTokens = std::max<std::int64_t>(0, request_.promptTokens - known);
+    choice.prefillTokens = std::max<std::int64_t>(0, request_.promptTokens - available);
 }
 
 } // namespace cardamomlift::forwarding
--- a/src/forwarding/internal/forwardedrequestsilence.cpp
+++ b/src/forwarding/internal/forwardedrequestsilence.cpp
@@ -13,7 +13,7 @@
 /// Multiples of the route's latency goal (before the first byte) and pause goal (after it) after which an attempt counts as
 /// silent: an answer that late has missed its goal anyway.
 constexpr int LatencyGoalFactor = 2;
-constexpr int PauseGoalFactor = 2;
+constexpr int EventGapGoalFactor = 2;
 /// Shorter silences may be due to lost packets, which are retransmitted after 200 ms or more.
 constexpr Duration MinSilence = std::chrono::milliseconds(300);
 constexpr Duration MaxSilence = std::chrono::milliseconds(2500);
@@ -26,9 +26,9 @@
 
 Duration ForwardedRequest::silenceLimit() const
 {
-    const bool waitsForFirst = !attempt_->hasFirstByte;
-    const Duration promised = waitsForFirst ? route_->latencyGoal * LatencyGoalFactor : route_->eventGapGoal * PauseGoalFactor;
-    return promised.count() <= 0 ? DefaultSilence : std::clamp(promised, MinSilence, MaxSilence);
+    const bool waitsForFirstByte = !attempt_->hasFirstByte;
+    const Duration limit = waitsForFirstByte ? route_->latencyGoal * LatencyGoalFactor : route_->eventGapGoal * EventGapGoalFactor;
+    return limit.count() <= 0 ? DefaultSilence : std::clamp(limit, MinSilence, MaxSilence);
 }
 
 void ForwardedRequest::watchSilence()
@@ -78,8 +78,8 @@
     tools_.metrics->add("server_silences_total");
     noteOutcome(outliers::Ending::NoAnswer);
     runs_++;
-    const bool goesElsewhere = mayRunAgain() && timeLeft() >= silenceLimit() && takeRetry();
-    if (!goesElsewhere) {
+    const bool shouldRetry = mayRunAgain() && timeLeft() >= silenceLimit() && takeRetry();
+    if (!shouldRetry) {
         runs_--;
         return;
     }
@@ -100,15 +100,15 @@
     attempt_->failureNoted = attempt_->failureNoted || isFailure;
     tools_.outliers->note(attempt_->server->server.instance, service_, ending);
     // An answer may have no body; then its head counts as the first byte.
-    const TimePoint begunAt = attempt_->hasFirstByte ? attempt_->firstByteAt : attempt_->lastByteAt;
+    const TimePoint startedAt = attempt_->hasFirstByte ? attempt_->firstByteAt : attempt_->lastByteAt;
     const bool isAnswer = ending == outliers::Ending::Answered;
-    noteVersionOutcome(isAnswer ? std::optional(begunAt - attempt_->sentAt) : std::nullopt);
+    noteVersionOutcome(isAnswer ? std::optional(startedAt - attempt_->sentAt) : std::nullopt);
 }
 
-void ForwardedRequest::noteVersionOutcome(std::optional<Duration> firstByteAfter)
+void ForwardedRequest::noteVersionOutcome(std::optional<Duration> timeToFirstByte)
 {
     if (tools_.versions) {
-        tools_.versions->noteOutcome(attempt_->server->server, route_->name, firstByteAfter);
+        tools_.versions->noteOutcome(attempt_->server->server, route_->name, timeToFirstByte);
     }
 }
 
--- a/src/forwarding/internal/forwarder.cpp
+++ b/src/forwarding/internal/forwarder.cpp
@@ -104,10 +104,10 @@
 
 void Forwarder::tick()
 {
-    const double most = maxSavedRetries();
-    const double granted = most * grantedFraction();
+    const double maxSaved = maxSavedRetries();
+    const double granted = maxSaved * grantedFraction();
     for (auto &[service, budget] : budgets_) {
-        budget.retries.setMost(most);
+        budget.retries.setMost(maxSaved);
         budget.retries.add(std::max(0.0, granted - budget.granted));
         budget.granted = std::max(budget.granted, granted);
     }
@@ -124,10 +124,10 @@
     if (found != budgets_.end()) {
         return found->second.retries;
     }
-    const double most = maxSavedRetries();
-    const double granted = most * grantedFraction();
-    const double customerMost = tools_->settings.retrySlack;
-    auto retries = retry::RetryBudget::create({tools_->settings.retryRatio, most, granted, 0, customerMost});
+    const double maxSaved = maxSavedRetries();
+    const double granted = maxSaved * grantedFraction();
+    const double maxSavedPerCustomer = tools_->settings.retrySlack;
+    auto retries = retry::RetryBudget::create({tools_->settings.retryRatio, maxSaved, granted, 0, maxSavedPerCustomer});
     return budgets_.emplace(service, ServiceBudget{std::move(retries), granted}).first->second.retries;
 }
 
@@ -138,7 +138,7 @@
     if (found == open_.end()) {
         return;
     }
-    tools_->loop->post([dying = std::move(found->second)] {});
+    tools_->loop->post([released = std::move(found->second)] {});
     open_.erase(found);
 }
 
--- a/src/forwarding/internal/peerbacklog.cpp
+++ b/src/forwarding/internal/peerbacklog.cpp
@@ -43,9 +43,9 @@
         return 0;
     }
     std::int64_t sum = 0;
-    for (const auto &[vm, told] : found->second) {
-        const double read = static_cast<double>((now - told.at).count()) / MicrosecondsPerSecond * PrefillTokensPerSecond;
-        sum += std::max<std::int64_t>(0, told.tokens - static_cast<std::int64_t>(read));
+    for (const auto &[vm, report] : found->second) {
+        const double prefilled = static_cast<double>((now - report.at).count()) / MicrosecondsPerSecond * PrefillTokensPerSecond;
+        sum += std::max<std::int64_t>(0, report.tokens - static_cast<std::int64_t>(prefilled));
     }
     return sum;
 }
--- a/src/forwarding/internal/retrypacer.cpp
+++ b/src/forwarding/internal/retrypacer.cpp
@@ -14,12 +14,12 @@
 
 } // namespace
 
-Duration RetryPacer::nextDelay(const std::string &service, double perSecond, TimePoint now)
+Duration RetryPacer::nextDelay(const std::string &service, double requestsPerSecond, TimePoint now)
 {
-    const double gap = std::min(MicrosecondsPerSecond / std::max(perSecond, 1e-3), static_cast<double>(MaxDelay.count()));
-    TimePoint &last = lastReturn_[service];
-    last = std::clamp(last + Duration(static_cast<std::int64_t>(gap)), now + MinDelay, now + MaxDelay);
-    return last - now;
+    const double interval = std::min(MicrosecondsPerSecond / std::max(requestsPerSecond, 1e-3), static_cast<double>(MaxDelay.count()));
+    TimePoint &returnAt = lastReturn_[service];
+    returnAt = std::clamp(returnAt + Duration(static_cast<std::int64_t>(interval)), now + MinDelay, now + MaxDelay);
+    return returnAt - now;
 }
 
 } // namespace cardamomlift::forwarding
--- a/src/forwarding/internal/routegateway.cpp
+++ b/src/forwarding/internal/routegateway.cpp
@@ -91,8 +91,8 @@
     handlers.onRequest = [this](const http1::ExchangePtr &exchange) {
         answerMetrics(exchange);
     };
-    BOOST_OUTCOME_TRY(page, http1::CallerServer::listen(*tools_.loop, tools_.settings.metrics, limits, handlers));
-    metrics_ = page;
+    BOOST_OUTCOME_TRY(metricsServer, http1::CallerServer::listen(*tools_.loop, tools_.settings.metrics, limits, handlers));
+    metrics_ = metricsServer;
     return success();
 }
 
@@ -155,9 +155,9 @@
 
 void RouteGateway::checkDrained()
 {
-    const Duration since = tools_.loop->now() - drainStartedAt_;
-    const bool isIdle = callers_->openExchanges() == 0 && since >= BalancerRemovalTime;
-    if (!isIdle && since < tools_.settings.grace - GraceMargin) {
+    const Duration elapsed = tools_.loop->now() - drainStartedAt_;
+    const bool isIdle = callers_->openExchanges() == 0 && elapsed >= BalancerRemovalTime;
+    if (!isIdle && elapsed < tools_.settings.grace - GraceMargin) {
         return;
     }
     tools_.loop->cancel(drainTimer_);
--- a/src/forwarding/internal/serverpool.cpp
+++ b/src/forwarding/internal/serverpool.cpp
@@ -57,13 +57,13 @@
     http1::BackendChannel *raw = channel.get();
     channel->onIdleEnd([this, instance, raw] {
         ServerEntry &entry = entries_[instance];
-        const auto place = std::find_if(entry.idle.begin(), entry.idle.end(), [raw](const auto &idle) { return idle.get() == raw; });
-        if (place == entry.idle.end()) {
+        const auto position = std::find_if(entry.idle.begin(), entry.idle.end(), [raw](const auto &idle) { return idle.get() == raw; });
+        if (position == entry.idle.end()) {
             return;
         }
         // The channel is freed by the event loop, because it is itself the caller of this handler.
-        loop_.post([dying = std::move(*place)] {});
-        entry.idle.erase(place);
+        loop_.post([released = std::move(*position)] {});
+        entry.idle.erase(position);
         entry.channels--;
     });
     found->second.idle.push_back(std::move(channel));
@@ -76,7 +76,7 @@
     if (found != entries_.end() && found->second.channels > 0) {
         found->second.channels--;
     }
-    loop_.post([dying = std::move(channel)] {});
+    loop_.post([released = std::move(channel)] {});
 }
 
 balancing::ServerLoad &ServerPool::load(const std::string &instance)
@@ -90,18 +90,18 @@
     return found == entries_.end() ? nullptr : &found->second;
 }
 
-void ServerPool::noteSent(const std::string &instance, std::int64_t promptTokens)
+void ServerPool::noteSent(const std::string &instance, std::int64_t prefillTokens)
 {
     balancing::ServerLoad &load = entries_[instance].load;
     load.localOpenRequests++;
     load.sentSinceReport++;
-    load.localWaitingTokens += promptTokens;
+    load.localWaitingTokens += prefillTokens;
 }
 
-void ServerPool::noteFirstByte(const std::string &instance, std::int64_t promptTokens)
+void ServerPool::noteFirstByte(const std::string &instance, std::int64_t prefillTokens)
 {
     balancing::ServerLoad &load = entries_[instance].load;
-    load.localWaitingTokens = std::max<std::int64_t>(0, load.localWaitingTokens - promptTokens);
+    load.localWaitingTokens = std::max<std::int64_t>(0, load.localWaitingTokens - prefillTokens);
 }
 
 void ServerPool::noteEnded(const std::string &instance)
--- a/src/forwarding/internal/servicedemand.cpp
+++ b/src/forwarding/internal/servicedemand.cpp
@@ -8,14 +8,14 @@
 namespace {
 
 /// Time constant of the averages: shorter than the start-up time of a server, longer than the gaps between bursts.
-constexpr double AverageSeconds = 3;
+constexpr double AveragingSeconds = 3;
 constexpr double MicrosecondsPerSecond = 1e6;
 
 } // namespace
 
 void ServiceDemand::decay(Entry &entry, TimePoint now)
 {
-    const double factor = std::exp(-static_cast<double>((now - entry.updatedAt).count()) / MicrosecondsPerSecond / AverageSeconds);
+    const double factor = std::exp(-static_cast<double>((now - entry.updatedAt).count()) / MicrosecondsPerSecond / AveragingSeconds);
     entry.tokensPerSecond *= factor;
     entry.answersPerSecond *= factor;
     entry.latenessPerSecond *= factor;
@@ -26,7 +26,7 @@
 {
     Entry &entry = entries_[service];
     decay(entry, now);
-    entry.tokensPerSecond += static_cast<double>(promptTokens) / AverageSeconds;
+    entry.tokensPerSecond += static_cast<double>(promptTokens) / AveragingSeconds;
     entry.open++;
 }
 
@@ -36,15 +36,15 @@
     entry.open -= std::min(entry.open, 1U);
 }
 
-void ServiceDemand::noteFirstByte(const std::string &service, Duration took, Duration goal, TimePoint now)
+void ServiceDemand::noteFirstByte(const std::string &service, Duration timeToFirstByte, Duration latencyGoal, TimePoint now)
 {
-    if (goal.count() <= 0) {
+    if (latencyGoal.count() <= 0) {
         return;
     }
     Entry &entry = entries_[service];
     decay(entry, now);
-    entry.answersPerSecond += 1 / AverageSeconds;
-    entry.latenessPerSecond += static_cast<double>(took.count()) / static_cast<double>(goal.count()) / AverageSeconds;
+    entry.answersPerSecond += 1 / AveragingSeconds;
+    entry.latenessPerSecond += static_cast<double>(timeToFirstByte.count()) / static_cast<double>(latencyGoal.count()) / AveragingSeconds;
 }
 
 std::vector<presence::ServiceLoad> ServiceDemand::loads(TimePoint now) const
--- a/src/forwarding/retrypacer.h
+++ b/src/forwarding/retrypacer.h
@@ -13,8 +13,8 @@
 class RetryPacer
 {
 public:
-    /// Delay from @p now after which the next refused caller shall retry. @p perSecond: requests that this VM may send.
-    Duration nextDelay(const std::string &service, double perSecond, TimePoint now);
+    /// Delay from @p now after which the next refused caller shall retry. @p requestsPerSecond: requests that this VM may send.
+    Duration nextDelay(const std::string &service, double requestsPerSecond, TimePoint now);
 
 private:
     std::map<std::string, TimePoint> lastReturn_; ///< By service: the latest retry time given to a caller.
--- a/src/forwarding/serverpool.h
+++ b/src/forwarding/serverpool.h
@@ -38,8 +38,8 @@
     balancing::ServerLoad &load(const std::string &instance);
     /// Null if nothing is known of the server.
     const ServerEntry *find(const std::string &instance) const;
-    void noteSent(const std::string &instance, std::int64_t promptTokens);
-    void noteFirstByte(const std::string &instance, std::int64_t promptTokens);
+    void noteSent(const std::string &instance, std::int64_t prefillTokens);
+    void noteFirstByte(const std::string &instance, std::int64_t prefillTokens);
     void noteEnded(const std::string &instance);
     void noteLoadReport(const std::string &instance, const LoadReport &report);
     /// Notes that bytes of an answer were received from the server, on any channel.
--- a/src/forwarding/servicedemand.h
+++ b/src/forwarding/servicedemand.h
@@ -15,8 +15,8 @@
 public:
     void noteRequest(const std::string &service, std::int64_t promptTokens, TimePoint now);
     void noteEnded(const std::string &service);
-    /// Notes the time to the first byte of an answer. @p goal: the latency goal of its route; 0 if it declares none.
-    void noteFirstByte(const std::string &service, Duration took, Duration goal, TimePoint now);
+    /// Notes the time to the first byte of an answer. @p latencyGoal: the latency goal of its route; 0 if it declares none.
+    void noteFirstByte(const std::string &service, Duration timeToFirstByte, Duration latencyGoal, TimePoint now);
     std::vector<presence::ServiceLoad> loads(TimePoint now) const;
 
 private:
--- a/src/forwarding/tests/fakeversiongate.h
+++ b/src/forwarding/tests/fakeversiongate.h
@@ -47,9 +47,9 @@
         open--;
     }
 
-    void noteOutcome(const directory::BackendServer &server, const std::string &, std::optional<Duration> firstByteAfter) override
+    void noteOutcome(const directory::BackendServer &server, const std::string &, std::optional<Duration> timeToFirstByte) override
     {
-        outcomes.push_back(server.version + (firstByteAfter ? " answered" : " failed"));
+        outcomes.push_back(server.version + (timeToFirstByte ? " answered" : " failed"));
     }
 
     std::string versionOnTrial;
