--- a/src/rollout/exposurebudget.h
+++ b/src/rollout/exposurebudget.h
@@ -8,32 +8,34 @@
 
 namespace cardamomlift::rollout {
 
-/// What one VM may still send to a version on trial. Each VM spends a part of the requests that it passes on itself, so the
-/// sum over all VMs keeps the bound without a word between them: when VMs are cut off, end or are added.
+/// The number of requests that one VM may still send to a version on trial. Each VM may spend a share of the requests that it
+/// forwards itself. So the sum over all VMs stays within the limits without any communication between them, also when VMs are
+/// partitioned, stopped or added.
 class ExposureBudget
 {
 public:
-    /// @p vms: how many share the slack; 0: this VM takes no part of it, since it may have spent that before it was restarted.
-    /// @p draw: between 0 and 1, evenly over VMs, so that the VMs do not all begin, or all
-    /// wait, when the slack is less than one request for each.
-    static ExposureBudget create(const RolloutLimits &limits, std::size_t vms, double draw);
+    /// @p vms: number of VMs that share the slack; 0: this VM gets none of it, since it may have spent it before a restart.
+    /// @p randomFraction: uniformly distributed over the VMs between 0 and 1. If the slack is less than one request per VM, it
+    /// decides which VMs get a request, so that neither all nor none of them do.
+    static ExposureBudget create(const RolloutLimits &limits, std::size_t vms, double randomFraction);
 
-    /// A request of @p route goes to a server of the service, of whatever version.
+    /// Adds the credit for a request on @p route to a server of the service, of any version.
     void addRequest(std::uint64_t route);
-    /// Asked for such a request: true if it shall go to the version on trial.
-    bool take(std::uint64_t route);
-    /// The request did not go there after all.
-    void giveBack(std::uint64_t route);
+    /// Spends credit for a request that was added. Returns true if the request is to go to the version on trial.
+    bool trySpend(std::uint64_t route);
+    /// Returns the credit of a request that was not sent to the version on trial after all.
+    void refund(std::uint64_t route);
 
 private:
-    double perRequest_ = 0;
+    double creditPerRequest_ = 0;
     double credit_ = 0;
-    /// Requests of one route.
+    /// Numbers of requests on one route.
     struct RouteUse {
-        std::uint64_t seen = 0;
-        std::uint64_t taken = 0;
+        std::uint64_t total = 0;
+        std::uint64_t onTrial = 0;
     };
-    bool isDue(const RouteUse &use) const;
+    /// Whether the route has had no more than its part of the requests on trial.
+    bool isBelowShare(const RouteUse &use) const;
     std::map<std::uint64_t, RouteUse> routes_;
 };
 
--- a/src/rollout/internal/ordercache.cpp
+++ b/src/rollout/internal/ordercache.cpp
@@ -11,10 +11,10 @@
 
 void OrderCache::put(Order order)
 {
-    if (isKnown(order)) {
+    if (isOutdatedOrKnown(order)) {
         return;
     }
-    readAs_[order.service] = order.id;
+    rowVersions_[order.service] = order.id;
     Order &place = orders_[order.service];
     place = std::move(order);
     for (const auto &handler : handlers_) {
@@ -22,22 +22,22 @@
     }
 }
 
-bool OrderCache::isKnown(const Order &order)
+bool OrderCache::isOutdatedOrKnown(const Order &order)
 {
     const Order *known = find(order.service);
     if (!known) {
         return false;
     }
-    rows::StoreVersion &readAs = readAs_[order.service];
-    if (order.id.era <= readAs.era) {
-        return order.id <= readAs;
+    rows::StoreVersion &rowVersion = rowVersions_[order.service];
+    if (order.id.era <= rowVersion.era) {
+        return order.id <= rowVersion;
     }
     const bool isWrittenAgain = order.toVersion == known->toVersion && order.timeLimit == known->timeLimit;
     if (isWrittenAgain) {
-        readAs = order.id;
+        rowVersion = order.id;
     }
-    // NOTE Rows that were written before the copy was made keep their numbers in the next era.
-    return isWrittenAgain || order.id.number <= readAs.number;
+    // NOTE In the era after a restore, rows from the copy keep the numbers that they were written with.
+    return isWrittenAgain || order.id.number <= rowVersion.number;
 }
 
 void OrderCache::remove(std::string_view service)
--- a/src/rollout/internal/rolloutagent.cpp
+++ b/src/rollout/internal/rolloutagent.cpp
@@ -19,22 +19,24 @@
 using forwarding::Eligibility;
 using forwarding::VersionPick;
 
-/// Records older than this may have been rolled back meanwhile. Knowledge by way of other VMs is up to 2.6 s old when all is
-/// well; with a second for the verdict it fits into the five seconds of a rollback.
-constexpr Duration RecordsFreshFor = std::chrono::milliseconds(2800);
-/// A process that learns of an order so soon after its start may have had its part of the slack in an earlier process.
-constexpr Duration YoungFor = std::chrono::seconds(3);
-/// What a VM told of its open requests counts for this long.
-constexpr Duration OpenLife = std::chrono::seconds(3);
+/// Maximum age of the known records during a trial: the store may hold a rollback that this VM has not read yet. Records
+/// relayed by other VMs are up to 2.6 s old in normal operation. With a second for the decision, this fits into the five
+/// seconds of RolloutLimits::rollbackWithin.
+constexpr Duration MaxRecordsAge = std::chrono::milliseconds(2800);
+/// A process that reads an order this soon after its start gets no slack: the previous process on this VM may have spent it.
+constexpr Duration NoSlackAfterStart = std::chrono::seconds(3);
+/// Time for which the reported number of a VM's open requests is valid.
+constexpr Duration OpenReportTtl = std::chrono::seconds(3);
 
 std::int64_t milliseconds(Duration duration)
 {
     return std::chrono::duration_cast<std::chrono::milliseconds>(duration).count();
 }
 
-double drawOf(std::string_view instance, rows::StoreVersion order)
+/// A number between 0 and 1, uniformly distributed over the instances.
+double randomFraction(std::string_view instance, rows::StoreVersion orderId)
 {
-    return static_cast<double>(XXH3_64bits_withSeed(instance.data(), instance.size(), order.number) >> 11) * 0x1.0p-53;
+    return static_cast<double>(XXH3_64bits_withSeed(instance.data(), instance.size(), orderId.number) >> 11) * 0x1.0p-53;
 }
 
 } // namespace
@@ -67,24 +69,25 @@
             {Attribute::Software, order.toVersion},
             {Attribute::Order, static_cast<std::int64_t>(order.id.number)},
             {Attribute::LeftMs, milliseconds(order.timeLimit)}});
-    state.countedFor = order.id;
-    const std::size_t sharers = tools_.upFor() < YoungFor ? 0 : tools_.vmCount().value_or(0);
-    state.budget = ExposureBudget::create(tools_.limits, sharers, drawOf(tools_.instance, order.id));
+    state.countedOrderId = order.id;
+    const std::size_t slackSharers = tools_.upFor() < NoSlackAfterStart ? 0 : tools_.vmCount().value_or(0);
+    state.budget = ExposureBudget::create(tools_.limits, slackSharers, randomFraction(tools_.instance, order.id));
     state.own.clear();
-    state.told.clear();
+    state.peerReports.clear();
     state.looksBad = false;
 }
 
-// An order stands in the store before the servers that it is about: what is known up to a server's entry decides.
+// An order is written to the store before the servers of its version are listed. So if all rows up to a server's entry have
+// been read, an order for its version would be known.
 bool RolloutAgent::isVersionKnown(ServiceState &state, const directory::BackendServer &server) const
 {
-    if (server.version.empty() || state.metVersions.contains(server.version)) {
+    if (server.version.empty() || state.knownVersions.contains(server.version)) {
         return true;
     }
     if (server.listedAs > tools_.orders->knownUpTo()) {
         return false;
     }
-    state.metVersions.insert(server.version);
+    state.knownVersions.insert(server.version);
     return true;
 }
 
@@ -99,23 +102,23 @@
 
 Eligibility RolloutAgent::eligibility(const directory::BackendServer &server, VersionPick pick)
 {
-    const ServiceState &known = services_[server.service];
+    const ServiceState &serviceState = services_[server.service];
     const Order *order = tools_.orders->find(server.service);
-    if (!order && !known.record && pick == VersionPick::Usual && known.metVersions.contains(server.version)) {
-        // Asked for each server of each request, nearly always outside of rollouts.
+    if (!order && !serviceState.record && pick == VersionPick::Usual && serviceState.knownVersions.contains(server.version)) {
+        // Fast path: this function is called for each server of each request, and there is rarely a rollout.
         return Eligibility::Preferred;
     }
     const VersionState versionState = this->versionState(server);
-    const bool isFirstVersion = known.metVersions.empty() && !order;
-    if (isFirstVersion && pick == VersionPick::Usual) {
-        // This process has just begun: a server whose orders are not known yet is better than none.
+    const bool isStartingUp = serviceState.knownVersions.empty() && !order;
+    if (isStartingUp && pick == VersionPick::Usual) {
+        // This process has just started and has not read the orders. An unchecked server is better than none.
         return Eligibility::Fallback;
     }
     if (pick == VersionPick::OnTrial) {
         if (versionState != VersionState::OnTrial) {
             return Eligibility::None;
         }
-        return services_[server.service].chosen.contains(server.instance) ? Eligibility::Preferred : Eligibility::Fallback;
+        return services_[server.service].chosenServers.contains(server.instance) ? Eligibility::Preferred : Eligibility::Fallback;
     }
     const ServiceState &state = services_[server.service];
     const bool isMoving = state.record && state.record->phase == Phase::Moving;
@@ -140,7 +143,7 @@
 std::string_view RolloutAgent::pauseReason(const ServiceState &state) const
 {
     const auto confirmedAt = tools_.recordsConfirmedAt();
-    if (!confirmedAt || tools_.loop->now() - *confirmedAt > RecordsFreshFor) {
+    if (!confirmedAt || tools_.loop->now() - *confirmedAt > MaxRecordsAge) {
         return "stale";
     }
     if (!tools_.hearsController()) {
@@ -153,15 +156,15 @@
     return !storeNow || *storeNow >= state.record->endsAt ? "time_over" : std::string_view();
 }
 
-bool RolloutAgent::mayTry(const std::string &service, ServiceState &state)
+bool RolloutAgent::mayRunTrial(const std::string &service, ServiceState &state)
 {
     const Order *order = tools_.orders->find(service);
     if (!order || !state.record || state.record->orderId != order->id || state.record->phase != Phase::Trial) {
         return false;
     }
     const std::string_view reason = pauseReason(state);
-    if (reason != state.pausedFor) {
-        state.pausedFor = reason;
+    if (reason != state.loggedPauseReason) {
+        state.loggedPauseReason = reason;
         tools_.log->write(Event::RolloutPaused,
             {{Attribute::Service, service},
                 {Attribute::Order, static_cast<std::int64_t>(order->id.number)},
@@ -178,7 +181,7 @@
     }
     ServiceState &state = found->second;
     state.budget->addRequest(presence::nameHash(route));
-    const bool isOnTrial = mayTry(service, state) && chooseTrialServers(service, state) && state.budget->take(presence::nameHash(route));
+    const bool isOnTrial = mayRunTrial(service, state) && chooseTrialServers(service, state) && state.budget->trySpend(presence::nameHash(route));
     return isOnTrial ? VersionPick::OnTrial : VersionPick::Usual;
 }
 
@@ -186,7 +189,7 @@
 {
     const auto found = services_.find(service);
     if (found != services_.end() && found->second.budget) {
-        found->second.budget->giveBack(presence::nameHash(route));
+        found->second.budget->refund(presence::nameHash(route));
     }
 }
 
@@ -202,7 +205,7 @@
     return servers;
 }
 
-// The same on all VMs, but for the edges of a slice.
+// All VMs choose the same servers, except around the start of a slice.
 bool RolloutAgent::chooseTrialServers(const std::string &service, ServiceState &state)
 {
     std::vector<std::string> servers = trialServers(service);
@@ -215,7 +218,7 @@
     };
     std::sort(servers.begin(), servers.end(), [&rank](const std::string &a, const std::string &b) { return rank(a) < rank(b); });
     servers.resize(std::min(servers.size(), slice.servers));
-    state.chosen = {std::make_move_iterator(servers.begin()), std::make_move_iterator(servers.end())};
+    state.chosenServers = {std::make_move_iterator(servers.begin()), std::make_move_iterator(servers.end())};
     return true;
 }
 
@@ -239,7 +242,7 @@
 {
     ServiceState &state = services_[server.service];
     const Order *order = tools_.orders->find(server.service);
-    const bool isCounted = order && order->id == state.countedFor && state.record && state.record->orderId == order->id && !isOver(state.record->phase);
+    const bool isCounted = order && order->id == state.countedOrderId && state.record && state.record->orderId == order->id && !isOver(state.record->phase);
     if (!isCounted) {
         return;
     }
@@ -249,14 +252,14 @@
     if (server.version == order->toVersion) {
         outcome.trialServer = presence::nameHash(server.instance);
     }
-    note(state.own, outcome);
+    addOutcome(state.own, outcome);
 }
 
-void RolloutAgent::adopt(Record record)
+void RolloutAgent::applyRecord(Record record)
 {
     ServiceState &state = services_[record.service];
-    const bool isOld = state.record && state.record->rowVersion >= record.rowVersion;
-    if (isOld) {
+    const bool isOutdated = state.record && state.record->rowVersion >= record.rowVersion;
+    if (isOutdated) {
         return;
     }
     state.isRecordLost = state.record && isBehind(record, *state.record);
@@ -264,9 +267,9 @@
         state.record->rowVersion = record.rowVersion;
         return;
     }
-    const bool isChange = !state.record || state.record->orderId != record.orderId || state.record->phase != record.phase;
+    const bool isNewPhase = !state.record || state.record->orderId != record.orderId || state.record->phase != record.phase;
     state.record = std::move(record);
-    if (!isChange) {
+    if (!isNewPhase) {
         return;
     }
     const Record &current = *state.record;
@@ -298,7 +301,7 @@
             continue;
         }
         record.rowVersion = row.version;
-        adopt(std::move(record));
+        applyRecord(std::move(record));
     }
 }
 
@@ -346,7 +349,7 @@
         }
         presence::RolloutNews news;
         news.service = presence::nameHash(service);
-        news.order = state.countedFor;
+        news.order = state.countedOrderId;
         news.counts = toRolloutCounts(state.own);
         news.openAtOthers = ownOpenAtOtherVersions(state);
         status.rollouts.push_back(std::move(news));
@@ -357,8 +360,8 @@
 {
     for (const presence::RolloutNews &news : status.rollouts) {
         for (auto &[service, state] : services_) {
-            if (presence::nameHash(service) == news.service && news.order == state.countedFor) {
-                state.told[{status.instance, status.incarnation}] = {fromRolloutCounts(news.counts), news.openAtOthers, tools_.loop->now()};
+            if (presence::nameHash(service) == news.service && news.order == state.countedOrderId) {
+                state.peerReports[{status.instance, status.incarnation}] = {fromRolloutCounts(news.counts), news.openAtOthers, tools_.loop->now()};
             }
         }
     }
@@ -386,8 +389,8 @@
         return {};
     }
     RolloutOutcomes sum = found->second.own;
-    for (const auto &[vm, told] : found->second.told) {
-        add(sum, told.outcomes);
+    for (const auto &[vm, report] : found->second.peerReports) {
+        add(sum, report.outcomes);
     }
     return sum;
 }
@@ -399,8 +402,8 @@
         return 0;
     }
     std::uint64_t sum = ownOpenAtOtherVersions(found->second);
-    for (const auto &[vm, told] : found->second.told) {
-        sum += tools_.loop->now() - told.at <= OpenLife ? told.openAtOtherVersions : 0;
+    for (const auto &[vm, report] : found->second.peerReports) {
+        sum += tools_.loop->now() - report.receivedAt <= OpenReportTtl ? report.openAtOtherVersions : 0;
     }
     return sum;
 }
--- a/src/rollout/internal/rolloutoutcomes.cpp
+++ b/src/rollout/internal/rolloutoutcomes.cpp
@@ -8,28 +8,28 @@
 
 namespace {
 
-/// Upper end of the first class. Shorter times are the network's.
-constexpr double FirstClassMs = 4;
+/// Upper bound of the first bucket. Shorter times are dominated by the network.
+constexpr double FirstBucketMs = 4;
 constexpr double MicrosecondsPerMs = 1000;
-/// Classes to a doubling.
-constexpr double ClassesPerOctave = 2;
+/// Buckets per doubling of the time.
+constexpr double BucketsPerOctave = 2;
 
-std::uint64_t difference(std::uint64_t now, std::uint64_t earlier)
+std::uint64_t increase(std::uint64_t now, std::uint64_t earlier)
 {
     return now - std::min(now, earlier);
 }
 
-presence::RolloutCounts toldCounts(std::uint64_t route, std::uint64_t server, const OutcomeCounts &counts)
+presence::RolloutCounts toCounts(std::uint64_t route, std::uint64_t server, const OutcomeCounts &counts)
 {
-    presence::RolloutCounts told;
-    told.route = route;
-    told.server = server;
-    told.failed = static_cast<std::uint32_t>(counts.failed);
-    told.answered.assign(counts.answered.begin(), counts.answered.end());
-    while (!told.answered.empty() && told.answered.back() == 0) {
-        told.answered.pop_back();
+    presence::RolloutCounts result;
+    result.route = route;
+    result.server = server;
+    result.failed = static_cast<std::uint32_t>(counts.failed);
+    result.answered.assign(counts.answered.begin(), counts.answered.end());
+    while (!result.answered.empty() && result.answered.back() == 0) {
+        result.answered.pop_back();
     }
-    return told;
+    return result;
 }
 
 } // namespace
@@ -37,11 +37,11 @@
 std::size_t latencyBucket(Duration took)
 {
     const double ms = static_cast<double>(took.count()) / MicrosecondsPerMs;
-    if (ms <= FirstClassMs) {
+    if (ms <= FirstBucketMs) {
         return 0;
     }
-    const double place = std::ceil(std::log2(ms / FirstClassMs) * ClassesPerOctave);
-    return std::min(LatencyBuckets - 1, static_cast<std::size_t>(place));
+    const double index = std::ceil(std::log2(ms / FirstBucketMs) * BucketsPerOctave);
+    return std::min(LatencyBuckets - 1, static_cast<std::size_t>(index));
 }
 
 std::uint64_t OutcomeCounts::answers() const
@@ -71,15 +71,15 @@
 
 OutcomeCounts OutcomeCounts::since(const OutcomeCounts &earlier) const
 {
-    OutcomeCounts later;
-    later.failed = difference(failed, earlier.failed);
+    OutcomeCounts result;
+    result.failed = increase(failed, earlier.failed);
     for (std::size_t i = 0; i < LatencyBuckets; i++) {
-        later.answered[i] = difference(answered[i], earlier.answered[i]);
+        result.answered[i] = increase(answered[i], earlier.answered[i]);
     }
-    return later;
+    return result;
 }
 
-void note(RolloutOutcomes &outcomes, const SendOutcome &outcome)
+void addOutcome(RolloutOutcomes &outcomes, const SendOutcome &outcome)
 {
     RouteOutcomes &route = outcomes[outcome.route];
     OutcomeCounts &counts = outcome.trialServer ? route.trial[*outcome.trialServer] : route.baseline;
@@ -90,50 +90,50 @@
     counts.failed++;
 }
 
-void add(RolloutOutcomes &sum, const RolloutOutcomes &more)
+void add(RolloutOutcomes &sum, const RolloutOutcomes &other)
 {
-    for (const auto &[route, entry] : more) {
-        RouteOutcomes &place = sum[route];
-        place.baseline += entry.baseline;
+    for (const auto &[route, entry] : other) {
+        RouteOutcomes &routeSum = sum[route];
+        routeSum.baseline += entry.baseline;
         for (const auto &[server, counts] : entry.trial) {
-            place.trial[server] += counts;
+            routeSum.trial[server] += counts;
         }
     }
 }
 
 RolloutOutcomes since(const RolloutOutcomes &now, const RolloutOutcomes &earlier)
 {
-    RolloutOutcomes later = now;
-    for (auto &[route, entry] : later) {
-        const auto before = earlier.find(route);
-        if (before == earlier.end()) {
+    RolloutOutcomes result = now;
+    for (auto &[route, entry] : result) {
+        const auto earlierRoute = earlier.find(route);
+        if (earlierRoute == earlier.end()) {
             continue;
         }
-        entry.baseline = entry.baseline.since(before->second.baseline);
+        entry.baseline = entry.baseline.since(earlierRoute->second.baseline);
         for (auto &[server, counts] : entry.trial) {
-            const auto place = before->second.trial.find(server);
-            counts = place == before->second.trial.end() ? counts : counts.since(place->second);
+            const auto earlierServer = earlierRoute->second.trial.find(server);
+            counts = earlierServer == earlierRoute->second.trial.end() ? counts : counts.since(earlierServer->second);
         }
     }
-    return later;
+    return result;
 }
 
 std::vector<presence::RolloutCounts> toRolloutCounts(const RolloutOutcomes &outcomes)
 {
-    std::vector<presence::RolloutCounts> told;
+    std::vector<presence::RolloutCounts> result;
     for (const auto &[route, entry] : outcomes) {
-        told.push_back(toldCounts(route, 0, entry.baseline));
+        result.push_back(toCounts(route, 0, entry.baseline));
         for (const auto &[server, counts] : entry.trial) {
-            told.push_back(toldCounts(route, server, counts));
+            result.push_back(toCounts(route, server, counts));
         }
     }
-    return told;
+    return result;
 }
 
-RolloutOutcomes fromRolloutCounts(std::span<const presence::RolloutCounts> told)
+RolloutOutcomes fromRolloutCounts(std::span<const presence::RolloutCounts> rolloutCounts)
 {
     RolloutOutcomes outcomes;
-    for (const presence::RolloutCounts &entry : told) {
+    for (const presence::RolloutCounts &entry : rolloutCounts) {
         OutcomeCounts counts;
         counts.failed = entry.failed;
         for (std::size_t i = 0; i < std::min(LatencyBuckets, entry.answered.size()); i++) {
--- a/src/rollout/internal/rolloutplan.cpp
+++ b/src/rollout/internal/rolloutplan.cpp
@@ -6,25 +6,28 @@
 
 namespace {
 
-/// The time for requests to end at the other versions' servers, which stop without draining: most streams end within four
-/// seconds, and long orders leave a quarter of their time.
-constexpr Duration LeastMoving = std::chrono::seconds(4);
-constexpr int MovingPart = 4;
-/// The last word is written this long before the time limit: two lost writes and the time by which the order was seen late.
+/// Shortest phase Moving, in which requests finish at servers of other versions, which then stop without draining. Most
+/// streams end within four seconds.
+constexpr Duration MinMoving = std::chrono::seconds(4);
+/// Orders with a long time limit use a quarter of it for the phase Moving.
+constexpr int MovingDivisor = 4;
+/// The final phase is written this long before the time limit. The margin covers two lost writes and the delay with which the
+/// order was read.
 constexpr Duration WriteMargin = std::chrono::milliseconds(1200);
-/// All VMs have heard of the move, and told what they still run elsewhere, within this.
-constexpr Duration MoveHeard = std::chrono::milliseconds(1500);
-/// A version that was not shown good so long before the time limit is rolled back: moving takes a second at least.
-constexpr Duration LastMoving = std::chrono::milliseconds(2500);
+/// Time within which all VMs have learned of the phase Moving and reported their open requests at servers of other versions.
+constexpr Duration MovePropagation = std::chrono::milliseconds(1500);
+/// A version that is not shown to be good this long before the time limit is rolled back, since moving the traffic takes at
+/// least a second.
+constexpr Duration LatestMoving = std::chrono::milliseconds(2500);
 
-Record begin(const Order &order, const Record *before, Duration storeNow)
+Record firstRecord(const Order &order, const Record *previous, Duration storeNow)
 {
     Record record;
-    if (before) {
-        record = *before;
-        if (!isOver(before->phase)) {
-            // The order before was replaced: what it tried is not to be used unproved.
-            record.excluded.push_back(before->toVersion);
+    if (previous) {
+        record = *previous;
+        if (!isOver(previous->phase)) {
+            // The previous order was replaced during its rollout: do not use its version, since it is not shown to be good.
+            record.excluded.push_back(previous->toVersion);
         }
     }
     std::erase(record.excluded, order.toVersion);
@@ -38,7 +41,7 @@
     return record;
 }
 
-Record inPhase(const Record &record, Phase phase, Duration storeNow)
+Record withPhase(const Record &record, Phase phase, Duration storeNow)
 {
     Record next = record;
     next.phase = phase;
@@ -48,14 +51,14 @@
 
 Record rolledBack(const Record &record, Duration storeNow)
 {
-    Record next = inPhase(record, Phase::RolledBack, storeNow);
+    Record next = withPhase(record, Phase::RolledBack, storeNow);
     next.excluded.push_back(record.toVersion);
     return next;
 }
 
 Record succeeded(const Record &record, Duration storeNow, std::span<const std::string> versions)
 {
-    Record next = inPhase(record, Phase::Succeeded, storeNow);
+    Record next = withPhase(record, Phase::Succeeded, storeNow);
     for (const std::string &version : versions) {
         const bool isListed = std::find(next.excluded.begin(), next.excluded.end(), version) != next.excluded.end();
         if (!version.empty() && version != record.toVersion && !isListed) {
@@ -65,20 +68,20 @@
     return next;
 }
 
-std::optional<Record> afterTrial(const Record &record, const PlanInput &input)
+std::optional<Record> nextInTrial(const Record &record, const PlanInput &input)
 {
     if (input.verdict.finding == Finding::Bad) {
         return rolledBack(record, input.storeNow);
     }
     const Duration timeLimit = record.endsAt - record.startedAt;
-    const Duration moving = std::max(LeastMoving, timeLimit / MovingPart);
-    if (input.storeNow < record.endsAt - moving) {
+    const Duration movingTime = std::max(MinMoving, timeLimit / MovingDivisor);
+    if (input.storeNow < record.endsAt - movingTime) {
         return std::nullopt;
     }
     if (input.verdict.finding == Finding::Good) {
-        return inPhase(record, Phase::Moving, input.storeNow);
+        return withPhase(record, Phase::Moving, input.storeNow);
     }
-    if (input.storeNow < record.endsAt - LastMoving) {
+    if (input.storeNow < record.endsAt - LatestMoving) {
         return std::nullopt;
     }
     return rolledBack(record, input.storeNow);
@@ -95,7 +98,7 @@
 {
     const bool isNew = input.order && (!input.record || !coversOrder(*input.record, *input.order));
     if (isNew) {
-        return begin(*input.order, input.record, input.storeNow);
+        return firstRecord(*input.order, input.record, input.storeNow);
     }
     if (input.isRecordLost) {
         return *input.record;
@@ -109,13 +112,13 @@
         return rolledBack(record, input.storeNow);
     }
     if (record.phase == Phase::Trial) {
-        return afterTrial(record, input);
+        return nextInTrial(record, input);
     }
     if (input.verdict.finding == Finding::Bad) {
         return rolledBack(record, input.storeNow);
     }
-    const bool haveOthersEnded = input.openAtOtherVersions == 0 && input.storeNow - record.phaseStartedAt >= MoveHeard;
-    if (haveOthersEnded || input.storeNow >= otherVersionsStopAt(record)) {
+    const bool areOthersDrained = input.openAtOtherVersions == 0 && input.storeNow - record.phaseStartedAt >= MovePropagation;
+    if (areOthersDrained || input.storeNow >= otherVersionsStopAt(record)) {
         return succeeded(record, input.storeNow, input.versions);
     }
     return std::nullopt;
--- a/src/rollout/internal/rollouttypes.cpp
+++ b/src/rollout/internal/rollouttypes.cpp
@@ -11,7 +11,7 @@
 
 constexpr std::array<std::string_view, 4> PhaseNames{"trial", "moving", "succeeded", "rolled_back"};
 
-std::optional<Phase> phaseNamed(std::string_view name)
+std::optional<Phase> parsePhase(std::string_view name)
 {
     for (std::size_t i = 0; i < PhaseNames.size(); i++) {
         if (PhaseNames[i] == name) {
@@ -88,7 +88,7 @@
     if (!hasTexts || !hasNumbers || !(*json)["excluded"].isArray()) {
         return false;
     }
-    const auto phase = phaseNamed((*json)["phase"].asString());
+    const auto phase = parsePhase((*json)["phase"].asString());
     if (!phase) {
         return false;
     }
--- a/src/rollout/internal/versionrules.cpp
+++ b/src/rollout/internal/versionrules.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-VersionState ofTarget(Phase phase)
+VersionState targetState(Phase phase)
 {
     switch (phase) {
     case Phase::Trial:
@@ -21,8 +21,8 @@
     return VersionState::Excluded;
 }
 
-// Another order has come: what was not found good by then is not tried any further.
-VersionState ofReplacedTarget(Phase phase)
+// The state of a target version whose order was replaced by a newer one: it stays in use only if it was accepted by then.
+VersionState replacedTargetState(Phase phase)
 {
     return phase == Phase::Moving || phase == Phase::Succeeded ? VersionState::Usable : VersionState::Excluded;
 }
@@ -36,12 +36,12 @@
 
 VersionState versionStateOf(std::string_view version, const Order *order, const Record *record)
 {
-    const bool isAnswered = record && (!order || coversOrder(*record, *order));
+    const bool isCovered = record && (!order || coversOrder(*record, *order));
     const bool isTarget = record && version == record->toVersion;
     if (isTarget) {
-        return isAnswered ? ofTarget(record->phase) : ofReplacedTarget(record->phase);
+        return isCovered ? targetState(record->phase) : replacedTargetState(record->phase);
     }
-    if (order && !isAnswered && version == order->toVersion) {
+    if (order && !isCovered && version == order->toVersion) {
         return VersionState::Excluded;
     }
     return record && excludes(*record, version) ? VersionState::Excluded : VersionState::Usable;
--- a/src/rollout/rolloutagent.h
+++ b/src/rollout/rolloutagent.h
@@ -22,26 +22,27 @@
 
 namespace cardamomlift::rollout {
 
-/// What the keeper works with.
+/// The collaborators of a RolloutAgent.
 struct AgentTools {
     EventLoop *loop = nullptr;
     RolloutLimits limits;
-    std::string instance; ///< This VM's.
+    std::string instance; ///< Instance name of this VM.
     std::shared_ptr<OrderCache> orders;
     std::shared_ptr<directory::Directory> directory;
     std::shared_ptr<eventlog::EventLog> log;
     std::shared_ptr<metrics::Metrics> metrics;
-    std::function<std::optional<Duration>()> storeNow; ///< The store's clock; empty while it is not known.
-    std::function<std::optional<std::size_t>()> vmCount;
-    std::function<Duration()> upFor; ///< Since this process began.
-    /// Since when no record can have changed unnoticed.
+    std::function<std::optional<Duration>()> storeNow; ///< Time by the store's clock; empty while unknown.
+    std::function<std::optional<std::size_t>()> vmCount; ///< Number of entry VMs; empty while unknown.
+    std::function<Duration()> upFor; ///< Time since this process started.
+    /// The time up to which all changes of records are known to this VM; empty before the first reading.
     std::function<std::optional<TimePoint>()> recordsConfirmedAt;
-    /// Whether a VM that judges rollouts was heard of lately.
+    /// Whether this VM, or one that was heard from recently, holds the duty lease and so controls rollouts.
     std::function<bool()> hearsController;
 };
 
-/// This VM's part in rollouts: it holds to what a version may get, counts what its requests come to, and hears what the other
-/// VMs have counted. Without fresh knowledge, or without a VM that judges, a version on trial gets nothing.
+/// Carries out rollouts on this VM: limits which requests a version gets, counts the outcomes of this VM's requests, and
+/// receives the counts of other VMs. A version on trial gets no requests while the known records are out of date or no VM
+/// that controls rollouts is heard.
 class RolloutAgent : public forwarding::VersionGate
 {
 public:
@@ -56,61 +57,67 @@
     void noteEnded(const directory::BackendServer &server) override;
     void noteOutcome(const directory::BackendServer &server, const std::string &route, std::optional<Duration> firstByteAfter) override;
 
-    /// Rows of the table of records.
+    /// Applies new rows of the table of records.
     void applyRecords(const std::vector<rows::Row> &rows);
-    /// The table holds no others. After a restore of the store the records that were known stay, where they are further.
+    /// Applies the whole table of records and drops records that it lacks. If the store was restored from an older copy, known
+    /// records that are missing there, or earlier there, are kept.
     void applyAllRecords(const rows::WholeTable &whole);
-    /// Called when the traffic of a service begins to move: others stop at @p stopAt, and what still runs there must go on
-    /// elsewhere before that.
+    /// @p handler is called when a rollout enters the phase Moving. Servers of other versions stop at @p stopAt; requests
+    /// that are still open there must continue elsewhere before that.
     void onMoving(std::function<void(const Record &record, TimePoint stopAt)> handler);
+    /// Adds this VM's counts to the status that it sends to the other VMs.
     void fillStatus(presence::Status &status) const;
     void receiveStatus(const presence::Status &status);
-    /// Looks whether what is known here alone speaks against a version on trial. A few times a second.
+    /// Pauses a trial on this VM if the outcomes known here show that the version is bad. To be called a few times per second.
     void tick();
 
     /// Null if there is none.
     const Record *record(std::string_view service) const;
-    /// Whether the store, which was restored, lacks the record or has an earlier one: it is to be written again.
+    /// Whether the store was restored from a copy that lacks the record or has an earlier one, so that it must be written
+    /// again.
     bool isRecordLost(std::string_view service) const;
-    /// What all VMs together have seen of the service's newest order.
+    /// Outcomes of the requests of all VMs since the service's newest order.
     RolloutOutcomes outcomes(const std::string &service) const;
-    /// Requests that all VMs that were heard lately have open at servers of other versions.
+    /// Open requests, at servers of other versions, of this VM and of the VMs that were heard recently.
     std::uint64_t openAtOtherVersions(const std::string &service) const;
     bool isAnyUnderWay() const;
     std::vector<std::string> servicesWithRecord() const;
 
 private:
-    /// What another process has told of the newest order.
+    /// The newest counts from another process, about the newest order.
     struct PeerReport {
         RolloutOutcomes outcomes;
         std::uint32_t openAtOtherVersions = 0;
-        TimePoint at;
+        TimePoint receivedAt;
     };
-    /// Of one service.
+    /// State of one service.
     struct ServiceState {
         std::optional<Record> record;
         bool isRecordLost = false;
-        std::set<std::string, std::less<>> metVersions; ///< Whose orders, if there were any, are known.
-        std::map<std::string, int, std::less<>> open; ///< Requests at servers, by version.
-        rows::StoreVersion countedFor; ///< The order of what follows.
+        std::set<std::string, std::less<>> knownVersions; ///< Versions whose orders, if there were any, have been read.
+        std::map<std::string, int, std::less<>> open; ///< Open requests of this VM, by version of the server.
+        rows::StoreVersion countedOrderId; ///< Id of the order that the following members are about.
         std::optional<ExposureBudget> budget;
-        RolloutOutcomes own;
-        std::map<std::pair<std::string, std::uint64_t>, PeerReport> told; ///< By VM and incarnation.
-        std::set<std::string, std::less<>> chosen; ///< Servers on trial that get the trial's requests now.
-        bool looksBad = false; ///< By what this VM and those it hears have seen.
-        std::string_view pausedFor; ///< As logged last; empty: not paused.
+        RolloutOutcomes own; ///< Outcomes of this VM's requests.
+        std::map<std::pair<std::string, std::uint64_t>, PeerReport> peerReports; ///< By instance and incarnation.
+        std::set<std::string, std::less<>> chosenServers; ///< Servers on trial that get the requests in the current slice.
+        bool looksBad = false; ///< According to the outcomes known to this VM.
+        std::string_view loggedPauseReason; ///< Last logged; empty: not paused.
     };
     explicit RolloutAgent(AgentTools tools);
     void onOrder(const Order &order);
     VersionState versionState(const directory::BackendServer &server);
+    /// Whether all orders from before the server was listed have been read.
     bool isVersionKnown(ServiceState &state, const directory::BackendServer &server) const;
-    /// Why a trial may not go on here now; empty if it may.
+    /// Why this VM may not send requests to the version on trial now; empty if it may.
     std::string_view pauseReason(const ServiceState &state) const;
-    bool mayTry(const std::string &service, ServiceState &state);
+    bool mayRunTrial(const std::string &service, ServiceState &state);
+    /// Usable servers on trial that are not cold.
     std::vector<std::string> trialServers(const std::string &service);
-    /// False if no request is to be tried just now.
+    /// Chooses the servers on trial for the current slice. Returns false if the slice has none or is closed.
     bool chooseTrialServers(const std::string &service, ServiceState &state);
-    void adopt(Record record);
+    /// Stores a record that was read and calls the handlers if its phase is new.
+    void applyRecord(Record record);
     std::uint32_t ownOpenAtOtherVersions(const ServiceState &state) const;
     AgentTools tools_;
     std::map<std::string, ServiceState, std::less<>> services_;
--- a/src/rollout/rolloutplan.h
+++ b/src/rollout/rolloutplan.h
@@ -9,23 +9,23 @@
 
 namespace cardamomlift::rollout {
 
-/// What the next step of a rollout is decided by.
+/// Input for the decision on the next step of a rollout.
 struct PlanInput {
-    const Order *order = nullptr; ///< The newest; null: it was withdrawn.
+    const Order *order = nullptr; ///< The newest; null: there is none, or it was withdrawn.
     const Record *record = nullptr; ///< The newest; null: there is none.
-    bool isRecordLost = false; ///< The store was restored and lacks it, or has an earlier one.
+    bool isRecordLost = false; ///< The store was restored from a copy that lacks the record or has an earlier one.
     Verdict verdict;
     Duration storeNow{0};
-    std::uint64_t openAtOtherVersions = 0; ///< Requests that all VMs have open at servers of other versions.
-    std::span<const std::string> versions; ///< Of the servers that are known.
+    std::uint64_t openAtOtherVersions = 0; ///< Open requests of all VMs at servers of other versions.
+    std::span<const std::string> versions; ///< Software versions of the service's known servers.
 };
 
-/// The record to write now; empty if nothing changes. A trial lasts as long as the order allows: what turns bad late is seen
-/// then, and a version that was not shown good by the end is rolled back, for sending it all would break the bound on
-/// exposure if it is bad.
+/// The record to write now; empty if nothing changes. A trial lasts as long as the order's time limit allows, so that a
+/// version that turns bad late is detected. A version that is not shown to be good by then is rolled back: sending it all
+/// requests would exceed the exposure limit if it is bad.
 std::optional<Record> nextRecord(const PlanInput &input);
 
-/// By the store's clock: until when requests may end at servers of the other versions, which stop then.
+/// When servers of other versions stop, by the store's clock. Requests that are open there may finish until then.
 Duration otherVersionsStopAt(const Record &record);
 
 } // namespace cardamomlift::rollout
--- a/src/rollout/rollouttypes.h
+++ b/src/rollout/rollouttypes.h
@@ -10,60 +10,61 @@
 
 namespace cardamomlift::rollout {
 
-/// An operator's order to move a service's traffic to backend servers of another software version.
+/// An operator's order to move a service's traffic to backend servers of another software version, the target version.
 struct Order {
     std::string service;
     std::string toVersion;
-    Duration timeLimit{0}; ///< From the order on; the version is accepted or rolled back within it.
-    rows::StoreVersion id; ///< Version of its row in the store: later orders have higher ones.
+    Duration timeLimit{0}; ///< Counted from the order; the target version must be accepted or rolled back within it.
+    rows::StoreVersion id; ///< Version of its row in the store; increases from order to order.
 };
 
-/// How far a rollout has come. It goes forward only.
+/// The phase of a rollout. A rollout never returns to an earlier phase.
 enum class Phase {
-    Trial, ///< The new version gets a bounded part of the requests.
-    Moving, ///< It was found good: all new requests go to it, and the other servers end what they run.
-    Succeeded, ///< The other servers stop.
-    RolledBack, ///< It gets nothing any more.
+    Trial, ///< Canary phase: the target version gets a bounded share of the requests.
+    Moving, ///< The target version was accepted: it gets all new requests, and servers of other versions finish their open ones.
+    Succeeded, ///< Servers of other versions may stop.
+    RolledBack, ///< The target version gets no more requests.
 };
 
-/// The state of a service's newest rollout, as it stands in the store. Only the holder of the duty lease writes it.
+/// The stored state of a service's newest rollout. Only the holder of the duty lease writes it.
 struct Record {
-    rows::StoreVersion orderId; ///< Order::id
+    rows::StoreVersion orderId; ///< Order::id of the order that is being carried out.
     std::string service;
     std::string toVersion;
     Phase phase = Phase::Trial;
     Duration startedAt{0}; ///< By the store's clock.
-    Duration endsAt{0}; ///< By the store's clock: the time limit of the order.
-    Duration phaseStartedAt{0}; ///< By the store's clock: when the phase began.
-    std::vector<std::string> excluded; ///< Versions that get nothing: rolled back, or replaced.
-    rows::StoreVersion rowVersion; ///< Of its row; number 0: not in the store yet.
+    Duration endsAt{0}; ///< By the store's clock: when the time limit of the order expires.
+    Duration phaseStartedAt{0}; ///< By the store's clock.
+    std::vector<std::string> excluded; ///< Versions that get no requests because they were rolled back or replaced.
+    rows::StoreVersion rowVersion; ///< Version of the record's row; number 0: not in the store yet.
 };
 
-/// What all VMs together may send to a version that is not proved, and how soon that must end.
+/// Limits on the exposure to a version on trial. They apply to the sum over all entry VMs.
 struct RolloutLimits {
     bool isEnabled = false;
-    double exposureShare = 0.1; ///< Of all requests to the service from the order to its time limit.
-    double exposureSlack = 0; ///< Requests beyond the share.
-    Duration rollbackWithin = std::chrono::seconds(5); ///< From the fiftieth bad answer to the last send.
+    double exposureShare = 0.1; ///< Maximum share of all requests to the service, from the order to its time limit.
+    double exposureSlack = 0; ///< Number of requests in addition to the share.
+    Duration rollbackWithin = std::chrono::seconds(5); ///< From the fiftieth bad answer to the last request to the version.
 };
 
-/// What the platform is told of a rollout.
+/// The state of a rollout as reported to the platform.
 enum class ReportedState { Running, Succeeded, RolledBack };
 
-/// Whether @p record is of @p order or a later one. An order that was written again after the store was restored has a later
-/// id than the record that it began.
+/// Whether @p record belongs to @p order or to a later one. If an order is written again after the store was restored, its id
+/// is higher than the one in the record that it started; such a record still counts as belonging to it.
 bool coversOrder(const Record &record, const Order &order);
-/// Whether @p record, as the store holds it now, goes back behind what was known: the store was restored from an older copy.
+/// Whether @p record, read from the store, is an earlier state than @p known. This happens when the store was restored from an
+/// older copy.
 bool isBehind(const Record &record, const Record &known);
 
 std::string_view phaseName(Phase phase);
 ReportedState reportedState(Phase phase);
-/// Whether nothing follows this phase but another order.
+/// Whether the phase is final: only a new order starts another rollout.
 bool isOver(Phase phase);
 
-/// The row's value; JSON.
+/// Encodes a record as JSON, the value of its row.
 std::string encodeRecord(const Record &record);
-/// Fails on what is no record.
+/// Returns false if @p text is not a valid record.
 bool decodeRecord(std::string_view text, Record &record);
 
 } // namespace cardamomlift::rollout
--- a/src/rollout/tests/exposurebudget_test.cpp
+++ b/src/rollout/tests/exposurebudget_test.cpp
@@ -32,7 +32,7 @@
             const auto vm = static_cast<std::size_t>(static_cast<double>(vms) * draw(random) * draw(random));
             const std::uint64_t route = random() % 3;
             budgets[vm].addRequest(route);
-            exposed += budgets[vm].take(route) ? 1 : 0;
+            exposed += budgets[vm].trySpend(route) ? 1 : 0;
             ASSERT_LE(static_cast<double>(exposed), 0.1 * requests + 50) << vms << " VMs";
         }
         EXPECT_GT(static_cast<double>(exposed), 0.07 * 20'000) << vms << " VMs";
@@ -43,17 +43,17 @@
 {
     ExposureBudget budget = ExposureBudget::create(limits(), 0, 0);
     budget.addRequest(1);
-    EXPECT_FALSE(budget.take(1));
+    EXPECT_FALSE(budget.trySpend(1));
 }
 
 TEST(ExposureBudget, WhatFoundNoServerIsNotSpent)
 {
     ExposureBudget budget = ExposureBudget::create(limits(), 40, 0);
     budget.addRequest(1);
-    ASSERT_TRUE(budget.take(1));
-    EXPECT_FALSE(budget.take(1));
-    budget.giveBack(1);
-    EXPECT_TRUE(budget.take(1));
+    ASSERT_TRUE(budget.trySpend(1));
+    EXPECT_FALSE(budget.trySpend(1));
+    budget.refund(1);
+    EXPECT_TRUE(budget.trySpend(1));
 }
 
 // One of forty requests is of the second route; it gets far more than a fortieth of the trial.
@@ -65,7 +65,7 @@
     for (int i = 0; i < 4000; i++) {
         const std::uint64_t route = i % 40 == 0 ? 2 : 1;
         budget.addRequest(route);
-        const bool isTaken = budget.take(route);
+        const bool isTaken = budget.trySpend(route);
         all += isTaken ? 1 : 0;
         rare += isTaken && route == 2 ? 1 : 0;
     }
--- a/src/rollout/tests/rolloutmodel.h
+++ b/src/rollout/tests/rolloutmodel.h
@@ -143,7 +143,7 @@
         const auto phase = phaseStartedAt(vm);
         const bool isUp = now_ >= scenario_.start;
         const bool isOpen = trialSlice(now_, scenario_.servers, limits_.exposureShare).isOpen;
-        const bool isTrial = phase == Phase::Trial && isUp && isOpen && vm.budget.take(route + 1);
+        const bool isTrial = phase == Phase::Trial && isUp && isOpen && vm.budget.trySpend(route + 1);
         const bool isMoved = phase == Phase::Moving || phase == Phase::Succeeded;
         answer(vm, route, isTrial || isMoved, isTrial, isBurst);
     }
@@ -224,7 +224,7 @@
     void tick(Duration at)
     {
         while (!coming_.empty() && coming_.begin()->first <= at) {
-            note(outcomes_, coming_.begin()->second);
+            addOutcome(outcomes_, coming_.begin()->second);
             coming_.erase(coming_.begin());
         }
         PlanInput input;
--- a/src/rollout/tests/verdictrules_test.cpp
+++ b/src/rollout/tests/verdictrules_test.cpp
@@ -122,9 +122,9 @@
 TEST(RolloutOutcomesTest, SurvivesTheWayToAnotherVm)
 {
     RolloutOutcomes outcomes;
-    note(outcomes, {Route, std::nullopt, milliseconds(3)});
-    note(outcomes, {Route, 7, milliseconds(900)});
-    note(outcomes, {Route, 7, std::nullopt});
+    addOutcome(outcomes, {Route, std::nullopt, milliseconds(3)});
+    addOutcome(outcomes, {Route, 7, milliseconds(900)});
+    addOutcome(outcomes, {Route, 7, std::nullopt});
     const RolloutOutcomes read = fromRolloutCounts(toRolloutCounts(outcomes));
     EXPECT_EQ(read.at(Route).baseline.total(), 1U);
     EXPECT_EQ(read.at(Route).trial.at(7).failed, 1U);
--- a/src/rollout/trialslice.h
+++ b/src/rollout/trialslice.h
@@ -7,15 +7,15 @@
 
 namespace cardamomlift::rollout {
 
-/// A stretch of time in which the trial's requests of all VMs go to the same few servers, so that these bear about the load
-/// that they would bear with all requests: a version may be bad under load only.
+/// A time slice in which all VMs send the trial's requests to the same few servers. These servers then have about the load
+/// that they would have if the version got all requests, so that a version that is bad only under load is detected.
 struct TrialSlice {
-    bool isOpen = false; ///< With few servers even one of them is loaded only if requests are saved up for some slices.
-    std::uint64_t number = 0; ///< The same on all VMs; ranks the servers.
-    std::size_t servers = 1; ///< That get the requests.
+    bool isOpen = false; ///< Whether requests are sent. With few servers they accumulate over some slices, to load one server.
+    std::uint64_t number = 0; ///< The same on all VMs; seeds the ranking of the servers.
+    std::size_t servers = 1; ///< Number of servers that get the requests.
 };
 
-/// The slice at @p storeNow of a trial of @p share of the requests with @p servers servers.
+/// The slice at time @p storeNow of a trial with @p servers servers and @p share of the service's requests.
 TrialSlice trialSlice(Duration storeNow, std::size_t servers, double share);
 
 } // namespace cardamomlift::rollout
--- a/src/rollout/versionrules.h
+++ b/src/rollout/versionrules.h
@@ -6,16 +6,16 @@
 
 namespace cardamomlift::rollout {
 
-/// What a server may get by its software version.
+/// Which requests servers of a software version may get.
 enum class VersionState {
-    Usable,
-    Preferred, ///< The version that the traffic moves to: others only where none of it is to be had.
-    OnTrial, ///< Only what its trial may spend.
-    Excluded,
+    Usable, ///< Any request.
+    Preferred, ///< The version that traffic moves to. Other versions are used only if none of its servers is available.
+    OnTrial, ///< Only requests within the budget of its trial.
+    Excluded, ///< No requests.
 };
 
-/// The standing of servers of @p version by the service's newest order and record, either null if there is none. An order
-/// that no record answers yet gives its version nothing: whether it is good is not known.
+/// The state of @p version according to the service's newest order and record; either may be null. The target version of an
+/// order without a record is excluded, since its trial has not begun.
 VersionState versionStateOf(std::string_view version, const Order *order, const Record *record);
 
 } // namespace cardamomlift::rollout
