--- a/src/rollout/internal/rolloutcontroller.cpp
+++ b/src/rollout/internal/rolloutcontroller.cpp
@@ -11,11 +11,12 @@
 using eventlog::Event;
 
 constexpr Duration TickPeriod = std::chrono::milliseconds(250);
-/// Spans that are judged beside the whole: a version that turns bad late is told by the last seconds.
-constexpr Duration ShortSpan = std::chrono::seconds(2);
-constexpr Duration LongSpan = std::chrono::seconds(5);
-/// A step whose answer was lost may still be done for some seconds; it is tried again on the same condition after this.
-constexpr Duration WriteAgainAfter = std::chrono::milliseconds(800);
+/// Lengths of the recent periods that are evaluated in addition to the whole trial, to detect a version that turns bad late.
+constexpr Duration ShortPeriod = std::chrono::seconds(2);
+constexpr Duration LongPeriod = std::chrono::seconds(5);
+/// A write whose answer was lost may still take effect for some seconds. It is repeated after this time on the same
+/// condition, so that it takes effect only once.
+constexpr Duration RetryWriteAfter = std::chrono::milliseconds(800);
 
 } // namespace
 
@@ -41,7 +42,7 @@
 {
     const auto storeNow = tools_.storeNow();
     if (!storeNow || !tools_.lease->mayAct()) {
-        watched_.clear();
+        services_.clear();
         return;
     }
     std::set<std::string> services;
@@ -52,37 +53,37 @@
         services.insert(service);
     }
     for (const std::string &service : services) {
-        look(service, *storeNow);
+        evaluateService(service, *storeNow);
     }
 }
 
-Verdict RolloutController::verdict(const std::string &service, Watched &watched) const
+Verdict RolloutController::verdict(const std::string &service, ServiceState &state) const
 {
     const TimePoint now = tools_.loop->now();
     RolloutOutcomes all = tools_.agent->outcomes(service);
-    while (watched.snapshots.size() > 1 && now - watched.snapshots[1].at >= LongSpan) {
-        watched.snapshots.pop_front();
+    while (state.snapshots.size() > 1 && now - state.snapshots[1].at >= LongPeriod) {
+        state.snapshots.pop_front();
     }
     std::vector<RolloutOutcomes> recent;
     const auto shortFrom =
-        std::find_if(watched.snapshots.rbegin(), watched.snapshots.rend(), [now](const Snapshot &snapshot) { return now - snapshot.at >= ShortSpan; });
-    if (shortFrom != watched.snapshots.rend()) {
+        std::find_if(state.snapshots.rbegin(), state.snapshots.rend(), [now](const Snapshot &snapshot) { return now - snapshot.at >= ShortPeriod; });
+    if (shortFrom != state.snapshots.rend()) {
         recent.push_back(since(all, shortFrom->outcomes));
-        recent.push_back(since(all, watched.snapshots.front().outcomes));
+        recent.push_back(since(all, state.snapshots.front().outcomes));
     }
     Verdict result = evaluateTrial(all, recent);
-    watched.snapshots.push_back({now, std::move(all)});
+    state.snapshots.push_back({now, std::move(all)});
     return result;
 }
 
-void RolloutController::look(const std::string &service, Duration storeNow)
+void RolloutController::evaluateService(const std::string &service, Duration storeNow)
 {
     const Order *order = tools_.orders->find(service);
     const Record *record = tools_.agent->record(service);
-    Watched &watched = watched_[service];
-    if (order && watched.orderId != order->id) {
-        watched.orderId = order->id;
-        watched.snapshots.clear();
+    ServiceState &state = services_[service];
+    if (order && state.orderId != order->id) {
+        state.orderId = order->id;
+        state.snapshots.clear();
     }
     PlanInput input;
     input.order = order;
@@ -90,24 +91,24 @@
     input.isRecordLost = tools_.agent->isRecordLost(service);
     input.storeNow = storeNow;
     if (record && !isOver(record->phase)) {
-        input.verdict = verdict(service, watched);
+        input.verdict = verdict(service, state);
     }
     input.openAtOtherVersions = tools_.agent->openAtOtherVersions(service);
-    const std::vector<std::string> versions = versionsOf(service);
+    const std::vector<std::string> versions = knownVersions(service);
     input.versions = versions;
     auto next = nextRecord(input);
-    if (!next || watched.isWriting) {
+    if (!next || state.isWriting) {
         return;
     }
-    const rows::StoreVersion on = record ? record->rowVersion : rows::StoreVersion();
-    const bool waitsForNews = watched.triedOn == on && tools_.loop->now() - watched.writtenAt < WriteAgainAfter;
-    if (!waitsForNews) {
-        watched.triedOn = on;
+    const rows::StoreVersion rowVersion = record ? record->rowVersion : rows::StoreVersion();
+    const bool awaitsRecord = state.lastWriteRowVersion == rowVersion && tools_.loop->now() - state.lastWriteAt < RetryWriteAfter;
+    if (!awaitsRecord) {
+        state.lastWriteRowVersion = rowVersion;
         write(service, std::move(*next), input.verdict);
     }
 }
 
-std::vector<std::string> RolloutController::versionsOf(const std::string &service) const
+std::vector<std::string> RolloutController::knownVersions(const std::string &service) const
 {
     std::set<std::string> versions;
     for (const auto &[instance, known] : tools_.directory->all()) {
@@ -120,26 +121,26 @@
 
 void RolloutController::write(const std::string &service, Record record, const Verdict &verdict)
 {
-    // NOTE Asked right before the write: a holder that was suspended must not take a step.
+    // NOTE Check right before the write: if this process was suspended, its lease may have expired.
     if (!tools_.lease->mayAct()) {
         return;
     }
-    Watched &watched = watched_[service];
-    watched.isWriting = true;
-    watched.writtenAt = tools_.loop->now();
+    ServiceState &state = services_[service];
+    state.isWriting = true;
+    state.lastWriteAt = tools_.loop->now();
     rows::RowWrite row;
     row.table = RecordsTable;
     row.key = service;
     row.value = encodeRecord(record);
     row.isConditional = true;
-    row.expectedVersion = watched.triedOn;
+    row.expectedVersion = state.lastWriteRowVersion;
     rows::RowWrite status = tools_.format.writeStatus(service, record.toVersion, reportedState(record.phase));
     tools_.store->write({std::move(row), std::move(status)}, [weak = weak_from_this(), record, verdict](const rows::WriteResult &result) {
         const auto self = weak.lock();
         if (!self) {
             return;
         }
-        self->watched_[record.service].isWriting = false;
+        self->services_[record.service].isWriting = false;
         const bool isWritten = result.outcome == rows::WriteOutcome::Written;
         self->tools_.log->write(Event::RolloutStep,
             {{Attribute::Service, record.service},
--- a/src/rollout/rolloutcontroller.h
+++ b/src/rollout/rolloutcontroller.h
@@ -12,15 +12,16 @@
 
 namespace cardamomlift::rollout {
 
-/// The table of records, one row a service.
+/// The table of records, with one row per service.
 inline constexpr char RecordsTable[] = "rollouts";
 
-/// How a rollout's state is told to the platform: a function that the platform's adapter gives.
+/// Format in which the state of a rollout is reported to the platform. Provided by the platform adapter.
 struct StatusFormat {
+    /// Returns the write that reports @p state to the platform.
     rows::RowWrite (*writeStatus)(std::string_view service, std::string_view toVersion, ReportedState state) = nullptr;
 };
 
-/// What the judge works with.
+/// The collaborators of a RolloutController.
 struct ControllerTools {
     EventLoop *loop = nullptr;
     std::shared_ptr<duties::DutyLease> lease;
@@ -29,13 +30,13 @@
     std::shared_ptr<OrderCache> orders;
     std::shared_ptr<directory::Directory> directory;
     std::shared_ptr<eventlog::EventLog> log;
-    std::function<std::optional<Duration>()> storeNow;
+    std::function<std::optional<Duration>()> storeNow; ///< Time by the store's clock; empty while unknown.
     StatusFormat format;
 };
 
-/// Decides rollouts while this VM holds the duty lease. A step is one transaction, on the condition that the record is as this
-/// VM knows it: the record by which all VMs act, and the state that the platform is told. So no step is lost between holders,
-/// and none is taken twice.
+/// Decides on the steps of rollouts while this VM holds the duty lease. A step is one transaction that writes the record,
+/// which all VMs follow, and the state reported to the platform. Its condition is that the stored record is the one known to
+/// this VM. So no step is lost or repeated when the lease changes hands.
 class RolloutController : public std::enable_shared_from_this<RolloutController>
 {
 public:
@@ -43,27 +44,29 @@
     ~RolloutController();
 
 private:
-    /// What the sums of all VMs were some time ago.
+    /// The outcomes of all VMs at an earlier time.
     struct Snapshot {
         TimePoint at;
         RolloutOutcomes outcomes;
     };
-    /// Of one service.
-    struct Watched {
+    /// Evaluation and writes for one service.
+    struct ServiceState {
         rows::StoreVersion orderId;
         std::deque<Snapshot> snapshots; ///< Oldest first.
-        bool isWriting = false;
-        TimePoint writtenAt;
-        rows::StoreVersion triedOn; ///< Row version of the record that the last step was written on.
+        bool isWriting = false; ///< The result of a write is pending.
+        TimePoint lastWriteAt;
+        rows::StoreVersion lastWriteRowVersion; ///< Row version of the record that the last write was conditional on.
     };
     explicit RolloutController(ControllerTools tools);
     void tick();
-    void look(const std::string &service, Duration storeNow);
-    Verdict verdict(const std::string &service, Watched &watched) const;
+    /// Decides on the next step of a service's rollout and writes it.
+    void evaluateService(const std::string &service, Duration storeNow);
+    /// Evaluates the outcomes since the order and those of the recent periods.
+    Verdict verdict(const std::string &service, ServiceState &state) const;
     void write(const std::string &service, Record record, const Verdict &verdict);
-    std::vector<std::string> versionsOf(const std::string &service) const;
+    std::vector<std::string> knownVersions(const std::string &service) const;
     ControllerTools tools_;
-    std::map<std::string, Watched> watched_;
+    std::map<std::string, ServiceState> services_;
     TimerId timer_ = 0;
 };
 
--- a/src/rollout/rolloutcontrollermodule.cpp
+++ b/src/rollout/rolloutcontrollermodule.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-/// What decides rollouts while this VM holds the duty lease, and moves what runs at servers that are about to stop.
+/// Starts the RolloutController, and moves open requests away from servers of other versions before these stop.
 class RolloutControllerModule : public Module
 {
 public:
--- a/src/rollout/rolloutmodule.cpp
+++ b/src/rollout/rolloutmodule.cpp
@@ -12,19 +12,21 @@
 
 namespace {
 
-/// How often what this VM knows is judged.
+/// How often this VM evaluates the outcomes known to it.
 constexpr Duration TickPeriod = std::chrono::milliseconds(500);
-/// How long the store may hold the question for new records while a rollout goes on: knowledge is as old as the last
-/// question that was answered.
-constexpr Duration WaitInRollout = std::chrono::milliseconds(800);
-/// And while none does: a change comes at once whatever this is, and each answer is paid for.
-constexpr Duration UsualWait = std::chrono::seconds(6);
-/// Records that are older are asked for, by a VM that hears of them from others: twice UsualWait and the way through a VM.
-constexpr Duration AskAfter = std::chrono::seconds(15);
-/// A judge that was not heard for this long may have ended. With many VMs it is two of their periods.
-constexpr Duration JudgeHeardWithin = std::chrono::milliseconds(1500);
+/// Long-poll timeout of the request for changed records during a rollout. It limits the age of the known records, which is
+/// the time since the last answered request.
+constexpr Duration RolloutWait = std::chrono::milliseconds(800);
+/// Long-poll timeout while there is no rollout. A change is answered at once anyway, and each answer is charged.
+constexpr Duration IdleWait = std::chrono::seconds(6);
+/// Maximum age of records relayed by other VMs; with older ones, the VM asks the store itself. Twice IdleWait, and the delay
+/// of a relaying VM.
+constexpr Duration MaxRelayedAge = std::chrono::seconds(15);
+/// A VM that controls rollouts counts as lost if it was not heard for this long. With many VMs, for two of their status
+/// periods, which are longer.
+constexpr Duration ControllerHeardWithin = std::chrono::milliseconds(1500);
 
-/// A VM's part in rollouts: the records, what versions may get, and what requests came to.
+/// Starts the RolloutAgent: follows the table of records, and exchanges outcomes with the other VMs.
 class RolloutModule : public Module
 {
 public:
@@ -59,7 +61,7 @@
         presence_->onStatus([agent = agent_](const presence::Status &status, std::optional<TimePoint>) { agent->receiveStatus(status); });
         loop_->every(TickPeriod, [this] {
             agent_->tick();
-            watch_->setWait(agent_->isAnyUnderWay() ? WaitInRollout : UsualWait);
+            watch_->setWait(agent_->isAnyUnderWay() ? RolloutWait : IdleWait);
         });
         return success();
     }
@@ -96,7 +98,7 @@
         };
         tools.hearsController = [presence = presence_, &context] {
             const auto lease = context.find<duties::DutyLease>();
-            const auto heard = presence->heardLately(std::max(JudgeHeardWithin, presence->period() * 2));
+            const auto heard = presence->heardLately(std::max(ControllerHeardWithin, presence->period() * 2));
             return (lease && lease->mayAct()) || std::any_of(heard.begin(), heard.end(), [](const presence::Peer *peer) { return peer->status->holdsLease; });
         };
         return tools;
@@ -115,8 +117,8 @@
         };
         handlers.onReachable = [](bool, rows::StoreFailure) {
         };
-        watch_ = rows::RowWatch::start({loop_, context.get<rows::RowStore>(), context.get<eventlog::EventLog>()}, RecordsTable, UsualWait, std::move(handlers));
-        context.get<presence::TableRelay>()->add(watch_, AskAfter);
+        watch_ = rows::RowWatch::start({loop_, context.get<rows::RowStore>(), context.get<eventlog::EventLog>()}, RecordsTable, IdleWait, std::move(handlers));
+        context.get<presence::TableRelay>()->add(watch_, MaxRelayedAge);
     }
 
     EventLoop *loop_ = nullptr;
