--- a/src/allowance/allowancelimiter.h
+++ b/src/allowance/allowancelimiter.h
@@ -15,8 +15,8 @@
 {
 public:
     static std::shared_ptr<AllowanceLimiter> create(EventLoop &loop, std::shared_ptr<presence::Presence> presence);
-    forwarding::AllowanceVerdict take(const manifest::Customer &customer, std::int64_t amount) override;
-    void giveBack(const manifest::Customer &customer, std::int64_t amount) override;
+    forwarding::AllowanceDecision take(const manifest::Customer &customer, std::int64_t amount) override;
+    void refund(const manifest::Customer &customer, std::int64_t amount) override;
 
 private:
     AllowanceLimiter(EventLoop &loop, std::shared_ptr<presence::Presence> presence);
--- a/src/duties/internal/servergoal.cpp
+++ b/src/duties/internal/servergoal.cpp
@@ -56,7 +56,7 @@
         }
         sum.promptTokensPerSecond += load.promptTokensPerSecond;
         sum.open += load.open;
-        sum.lateness += load.lateness * load.answersPerSecond;
+        sum.lateness += load.latencyRatio * load.answersPerSecond;
         answers += load.answersPerSecond;
     }
     sum.lateness = answers > 0 ? sum.lateness / answers : 0;
@@ -97,7 +97,7 @@
     goal.servers = memory.servers;
     goal.serversAfterReclaim = static_cast<int>(std::ceil(memory.servers * (present.isStockOut ? KeptWithoutStock : KeptAfterReclaim)));
     const int reclaimable = static_cast<int>(std::lround(memory.longTerm * ReclaimableReserve / places));
-    goal.reclaimablePerZone = std::clamp(reclaimable, std::min(LeastReclaimable, scaling.most), std::max(1, scaling.most));
+    goal.reclaimablePerZone = std::clamp(reclaimable, std::min(LeastReclaimable, scaling.maxPerZone), std::max(1, scaling.maxPerZone));
     return goal;
 }
 
--- a/src/duties/tests/dutiestest.h
+++ b/src/duties/tests/dutiestest.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "duties/dutylease.h"
+#include "duties/leaderlease.h"
 #include "duties/orderkeeper.h"
 #include "duties/usagereporter.h"
 #include "rows/memoryrowstore.h"
@@ -15,7 +15,7 @@
 inline constexpr Duration Lease = seconds(3);
 
 /// Datagrams arrive at all VMs that are connected, and at none by default: then what they agree on goes through the store.
-class TestDatagrams : public presence::Datagrams
+class TestDatagrams : public presence::DatagramSocket
 {
 public:
     void send(const http1::Endpoint &, std::string_view bytes) override
@@ -45,7 +45,7 @@
     bool isStockOut = false; ///< Reclaimable servers are refused.
 };
 
-class RecordingApi : public DutyApi
+class RecordingApi : public LeaderApi
 {
 public:
     RecordingApi(EventLoop &loop, PlatformRecord &record)
@@ -54,18 +54,18 @@
     {
     }
 
-    void reportUsage(std::uint64_t fence, const UsageReport &report, DutyHandler handler) override
+    void reportUsage(std::uint64_t fence, const UsageReport &report, LeaderCallHandler handler) override
     {
         record_.reports[report.window].push_back(report);
         record_.fences.push_back(fence);
-        loop_.post([handler = std::move(handler), lost = record_.losesAnswers] { handler(lost ? DutyOutcome::Failed : DutyOutcome::Done); });
+        loop_.post([handler = std::move(handler), lost = record_.losesAnswers] { handler(lost ? LeaderCallOutcome::Failed : LeaderCallOutcome::Done); });
     }
 
-    void orderServers(std::uint64_t, const ServerOrder &order, DutyHandler handler) override
+    void orderServers(std::uint64_t, const ServerOrder &order, LeaderCallHandler handler) override
     {
         record_.orders.push_back(order);
         const bool isRefused = order.isReclaimable && record_.isStockOut;
-        loop_.post([handler = std::move(handler), isRefused] { handler(isRefused ? DutyOutcome::Refused : DutyOutcome::Done); });
+        loop_.post([handler = std::move(handler), isRefused] { handler(isRefused ? LeaderCallOutcome::Refused : LeaderCallOutcome::Done); });
     }
 
 private:
@@ -78,9 +78,9 @@
     std::shared_ptr<rows::MemoryRowStore> store;
     std::shared_ptr<TestDatagrams> datagrams;
     std::shared_ptr<presence::Presence> presence;
-    std::shared_ptr<presence::TrueTime> time;
+    std::shared_ptr<presence::ClusterClock> time;
     std::shared_ptr<usage::UsageCounter> usage;
-    std::shared_ptr<DutyLease> lease;
+    std::shared_ptr<LeaderLease> lease;
     std::shared_ptr<UsageReporter> reporter;
 };
 
@@ -91,12 +91,12 @@
     {
         loop_ = std::move(EventLoop::create(clock_).value());
         log_ = eventlog::EventLog::create(clock_, "test", [](std::string_view) { return true; });
-        manifests_ = manifest::ManifestKeeper::create();
+        manifests_ = manifest::ManifestCache::create();
         manifest::Manifest manifest;
         manifest.version = 1;
         manifest.customers.resize(1);
         manifest.customers[0].name = "customer";
-        manifests_->offer(std::move(manifest));
+        manifests_->update(std::move(manifest));
     }
 
     Vm start(const std::string &instance)
@@ -107,13 +107,13 @@
         presenceTools.loop = loop_.get();
         presenceTools.store = vm.store;
         vm.datagrams = std::make_shared<TestDatagrams>();
-        presenceTools.datagrams = vm.datagrams;
+        presenceTools.socket = vm.datagrams;
         presenceTools.log = log_;
         presenceTools.instance = instance;
         presenceTools.endpoint = {"10.0.0.1", 1};
         presenceTools.incarnation = ++incarnations_;
         vm.presence = presence::Presence::start(std::move(presenceTools));
-        vm.time = presence::TrueTime::create(*loop_, vm.store, vm.presence);
+        vm.time = presence::ClusterClock::create(*loop_, vm.store, vm.presence);
         vm.usage = usage::UsageCounter::create(vm.presence, vm.time, seconds(5));
         LeaseTools leaseTools;
         leaseTools.loop = loop_.get();
@@ -121,7 +121,7 @@
         leaseTools.presence = vm.presence;
         leaseTools.log = log_;
         leaseTools.length = Lease;
-        vm.lease = DutyLease::start(std::move(leaseTools));
+        vm.lease = LeaderLease::start(std::move(leaseTools));
         return vm;
     }
 
@@ -153,7 +153,7 @@
     ManualClock clock_;
     std::unique_ptr<EventLoop> loop_;
     std::shared_ptr<eventlog::EventLog> log_;
-    std::shared_ptr<manifest::ManifestKeeper> manifests_;
+    std::shared_ptr<manifest::ManifestCache> manifests_;
     std::shared_ptr<rows::MemoryRows> rows_ = std::make_shared<rows::MemoryRows>();
     PlatformRecord record_;
     std::uint64_t incarnations_ = 0;
--- a/src/forwarding/internal/forwardedrequest.cpp
+++ b/src/forwarding/internal/forwardedrequest.cpp
@@ -1,6 +1,6 @@
 #include "forwarding/internal/forwardedrequest.h"
 
-#include "forwarding/internal/forwardinglimits.h"
+#include "forwarding/internal/forwardingconstants.h"
 
 #include <xxhash.h>
 
@@ -10,16 +10,16 @@
 
 namespace {
 
-/// A server that takes no connection within this is passed over: many times the round trip between failure domains.
+/// A server that accepts no connection within this time is skipped: many times the round trip between failure domains.
 constexpr Duration ConnectTimeout = std::chrono::milliseconds(400);
-/// A 404 or 401 is given only on knowledge younger than this; older knowledge may lack a new route or key.
-constexpr Duration DenialFreshness = std::chrono::seconds(3);
-/// A VM that has lost the store: the caller's next try reaches another one.
+/// 404 and 401 are returned only if the manifest was confirmed within this time; an older one may lack a new route or key.
+constexpr Duration MaxDenialAge = std::chrono::seconds(3);
+/// For a VM that has lost its connection to the store: the caller's next attempt reaches another VM.
 constexpr Duration StaleRetryAfter = std::chrono::milliseconds(200);
-/// This VM is about to end: any other one takes the request now.
+/// For a VM that is shutting down: any other VM accepts the request at once.
 constexpr Duration DrainingRetryAfter = std::chrono::milliseconds(50);
-/// With less time than this left, a request is not sent once more: no server answers so fast.
-constexpr Duration LeastTimeForSend = std::chrono::milliseconds(20);
+/// A request with less time left than this is not sent: no server answers that fast.
+constexpr Duration MinTimeForSend = std::chrono::milliseconds(20);
 
 } // namespace
 
@@ -48,20 +48,20 @@
 {
     exchange_->onGone([weak = weak_from_this()] {
         if (const auto self = weak.lock()) {
-            self->onGone();
+            self->onCallerGone();
         }
     });
-    if (!readAndCheck()) {
+    if (!checkRequest()) {
         return;
     }
     setDeadline();
-    if (!forwarder_.takesWork(deadline_)) {
-        refuse(StatusUnavailable, Reason::Draining, DrainingRetryAfter);
+    if (!forwarder_.acceptsRequest(deadline_)) {
+        refuse(StatusUnavailable, FailureReason::Draining, DrainingRetryAfter);
         return;
     }
     service_ = chooseService();
     forwarder_.budget(service_).earn(service_);
-    tools_.demand->noteAsked(service_, request_.promptTokens, tools_.loop->now());
+    tools_.demand->noteRequest(service_, request_.promptTokens, tools_.loop->now());
     demandNoted_ = true;
     if (tools_.versions) {
         pick_ = tools_.versions->pick(service_, route_->name);
@@ -69,13 +69,13 @@
     dispatch();
 }
 
-bool ForwardedRequest::readAndCheck()
+bool ForwardedRequest::checkRequest()
 {
     request_ = tools_.wire.readRequest(exchange_->head());
     prefixes_ = prefixindex::prefixesOf(request_.prompt);
     manifest_ = tools_.manifests->current();
     if (!manifest_) {
-        refuse(StatusUnavailable, Reason::NoManifest, StaleRetryAfter);
+        refuse(StatusUnavailable, FailureReason::NoManifest, StaleRetryAfter);
         return false;
     }
     return findRoute() && checkKey() && checkAllowance();
@@ -87,11 +87,11 @@
     if (route_ && !route_->shares.empty()) {
         return true;
     }
-    if (!tools_.manifests->isFresh(tools_.loop->now(), DenialFreshness)) {
-        refuse(StatusUnavailable, Reason::StaleKeys, StaleRetryAfter);
+    if (!tools_.manifests->isFresh(tools_.loop->now(), MaxDenialAge)) {
+        refuse(StatusUnavailable, FailureReason::StaleKeys, StaleRetryAfter);
         return false;
     }
-    refuse(StatusNotFound, Reason::NoRoute, Duration(0));
+    refuse(StatusNotFound, FailureReason::NoRoute, Duration(0));
     return false;
 }
 
@@ -100,23 +100,23 @@
     if (manifest_->manifest().customers.empty()) {
         return true;
     }
-    customer_ = request_.key.empty() ? nullptr : manifest_->customerOfKey(request_.key);
+    customer_ = request_.key.empty() ? nullptr : manifest_->customerByKey(request_.key);
     if (route_->isPublic) {
         return true;
     }
     const TimePoint now = tools_.loop->now();
-    if (tools_.settings.strictKeys && !tools_.manifests->isFresh(now, tools_.settings.keysFreshFor)) {
-        refuse(StatusUnavailable, Reason::StaleKeys, StaleRetryAfter);
+    if (tools_.settings.strictKeys && !tools_.manifests->isFresh(now, tools_.settings.maxKeyAge)) {
+        refuse(StatusUnavailable, FailureReason::StaleKeys, StaleRetryAfter);
         return false;
     }
     if (customer_) {
         return true;
     }
-    if (!tools_.manifests->isFresh(now, DenialFreshness)) {
-        refuse(StatusUnavailable, Reason::StaleKeys, StaleRetryAfter);
+    if (!tools_.manifests->isFresh(now, MaxDenialAge)) {
+        refuse(StatusUnavailable, FailureReason::StaleKeys, StaleRetryAfter);
         return false;
     }
-    refuse(StatusUnauthorized, Reason::UnknownKey, Duration(0));
+    refuse(StatusUnauthorized, FailureReason::UnknownKey, Duration(0));
     return false;
 }
 
@@ -125,7 +125,7 @@
     if (!customer_ || !customer_->allowance.countsTokens) {
         return 1;
     }
-    return request_.hasTokens ? request_.promptTokens + request_.outputTokens : customer_->allowance.plainTokens;
+    return request_.hasTokens ? request_.promptTokens + request_.outputTokens : customer_->allowance.defaultTokens;
 }
 
 bool ForwardedRequest::checkAllowance()
@@ -133,10 +133,10 @@
     if (!customer_ || !tools_.allowances || customer_->allowance.perSecond <= 0) {
         return true;
     }
-    const AllowanceVerdict verdict = tools_.allowances->take(*customer_, cost());
-    if (!verdict.isAllowed) {
-        logAllowance(verdict);
-        refuse(StatusTooMany, Reason::OverAllowance, verdict.retryAfter);
+    const AllowanceDecision decision = tools_.allowances->take(*customer_, cost());
+    if (!decision.isAllowed) {
+        logAllowance(decision);
+        refuse(StatusTooManyRequests, FailureReason::OverAllowance, decision.retryAfter);
         return false;
     }
     allowanceTaken_ = true;
@@ -157,7 +157,7 @@
     });
 }
 
-// By the weights, and the same for each try with the same id.
+// Chooses by weight. Requests with the same id always get the same service.
 const std::string &ForwardedRequest::chooseService() const
 {
     std::uint64_t sum = 0;
@@ -181,7 +181,7 @@
 
 std::int64_t ForwardedRequest::millisecondsSince(TimePoint since) const
 {
-    return milliseconds(tools_.loop->now() - since);
+    return toMilliseconds(tools_.loop->now() - since);
 }
 
 bool ForwardedRequest::isStream() const
@@ -189,47 +189,47 @@
     return route_->kind == manifest::RouteKind::Stream;
 }
 
-bool ForwardedRequest::streamBegan() const
+bool ForwardedRequest::hasStreamStarted() const
 {
-    return headPassed_;
+    return headSent_;
 }
 
 void ForwardedRequest::dispatch()
 {
-    if (timeLeft() < LeastTimeForSend) {
+    if (timeLeft() < MinTimeForSend) {
         onDeadline();
         return;
     }
     const Choice choice = chooseServer();
     if (pick_ == VersionPick::OnTrial && choice.pick != pick_) {
-        tools_.versions->giveBack(service_, route_->name);
+        tools_.versions->cancelTrial(service_, route_->name);
     }
-    // A repeat is for the caller's sake: it goes where most do.
+    // Retries go to the usual versions: the caller should not suffer from a trial twice.
     pick_ = VersionPick::Usual;
     if (!choice.server) {
         endWithoutServer(choice);
         return;
     }
-    noteSending(choice.server->server.instance);
+    countSend(choice.server->server.instance);
     send(choice);
 }
 
 void ForwardedRequest::endWithoutServer(const Choice &choice)
 {
     if (runs_ > 0) {
-        fail(StatusBadGateway, Reason::OutcomeUnknown);
+        fail(StatusBadGateway, FailureReason::OutcomeUnknown);
         return;
     }
     if (choice.limited > 0) {
-        const Duration back = forwarder_.returnTimes_.next(service_, choice.limitedPerSecond, tools_.loop->now());
-        refuse(StatusUnavailable, Reason::ServersLimited, back);
+        const Duration back = forwarder_.retryPacer_.nextDelay(service_, choice.limitedPerSecond, tools_.loop->now());
+        refuse(StatusUnavailable, FailureReason::ServersLimited, back);
         return;
     }
-    refuse(StatusUnavailable, sends_ == 0 ? Reason::NoServer : Reason::ServersFull, FullRetryAfter);
+    refuse(StatusUnavailable, sends_ == 0 ? FailureReason::NoServer : FailureReason::ServersFull, ServersFullRetryAfter);
 }
 
-// Counted when a server is decided on, also for a moved run, which reaches it a little later.
-void ForwardedRequest::noteSending(const std::string &instance)
+// Called when the server is chosen; a moved run is sent there a little later.
+void ForwardedRequest::countSend(const std::string &instance)
 {
     if (tools_.limits) {
         tools_.limits->noteSent(instance);
@@ -246,7 +246,7 @@
         fields.customer = customer_->name;
     }
     fields.kvSource = kvSource_;
-    fields.kvFetch = choice.fetchFrom;
+    fields.kvFetch = choice.kvFetchFrom;
     fields.lastEventId = splitter_.lastId().empty() ? request_.lastEventId : splitter_.lastId();
     return fields;
 }
@@ -260,9 +260,9 @@
     attempt_->server = server;
     attempt_->sentAt = tools_.loop->now();
     attempt_->lastByteAt = attempt_->sentAt;
-    attempt_->channel = tools_.pool->take(server->server);
-    attempt_->tokensToRead = choice.tokensToRead;
-    tools_.pool->noteSent(server->server.instance, choice.tokensToRead);
+    attempt_->channel = tools_.pool->acquire(server->server);
+    attempt_->prefillTokens = choice.prefillTokens;
+    tools_.pool->noteSent(server->server.instance, choice.prefillTokens);
     tools_.prefixes->noteSent(prefixes_, server->server.instance);
     if (tools_.versions) {
         tools_.versions->noteSent(server->server);
@@ -292,14 +292,14 @@
     if (!attempt_->channel->isConnected()) {
         connectTimer_ = tools_.loop->after(ConnectTimeout, [weak = weak_from_this()] {
             if (const auto self = weak.lock()) {
-                self->onConnectTime();
+                self->onConnectTimeout();
             }
         });
     }
     watchSilence();
 }
 
-void ForwardedRequest::onConnectTime()
+void ForwardedRequest::onConnectTimeout()
 {
     if (attempt_ && !attempt_->channel->isConnected()) {
         onFailure(http1::CallFailure::NotConnected);
--- a/src/forwarding/internal/forwardedrequestsilence.cpp
+++ b/src/forwarding/internal/forwardedrequestsilence.cpp
@@ -1,5 +1,5 @@
 #include "forwarding/internal/forwardedrequest.h"
-#include "forwarding/internal/forwardinglimits.h"
+#include "forwarding/internal/forwardingconstants.h"
 
 #include <algorithm>
 
@@ -10,24 +10,25 @@
 using eventlog::Attribute;
 using eventlog::Event;
 
-/// A server is asked about after this multiple of what its route promises: an answer that late has missed its goal anyway.
-constexpr int GoalsOfSilence = 2;
-constexpr int PausesOfSilence = 2;
-/// Shorter silences come with lost packets, which are sent again after 200 ms and more.
-constexpr Duration LeastSilence = std::chrono::milliseconds(300);
-constexpr Duration MostSilence = std::chrono::milliseconds(2500);
-/// A timer that is late by more tells that the process was suspended or starved.
-constexpr Duration LateTimer = std::chrono::milliseconds(200);
-/// Where the route promises nothing.
-constexpr Duration UsualSilence = std::chrono::milliseconds(1500);
+/// Multiples of the route's latency goal (before the first byte) and pause goal (after it) after which an attempt counts as
+/// silent: an answer that late has missed its goal anyway.
+constexpr int LatencyGoalFactor = 2;
+constexpr int PauseGoalFactor = 2;
+/// Shorter silences may be due to lost packets, which are retransmitted after 200 ms or more.
+constexpr Duration MinSilence = std::chrono::milliseconds(300);
+constexpr Duration MaxSilence = std::chrono::milliseconds(2500);
+/// A timer that fires later than this shows that the process was suspended or starved of CPU time.
+constexpr Duration SuspensionThreshold = std::chrono::milliseconds(200);
+/// For routes that declare no goal.
+constexpr Duration DefaultSilence = std::chrono::milliseconds(1500);
 
 } // namespace
 
 Duration ForwardedRequest::silenceLimit() const
 {
     const bool waitsForFirst = !attempt_->hasFirstByte;
-    const Duration promised = waitsForFirst ? route_->latencyGoal * GoalsOfSilence : route_->pauseGoal * PausesOfSilence;
-    return promised.count() <= 0 ? UsualSilence : std::clamp(promised, LeastSilence, MostSilence);
+    const Duration promised = waitsForFirst ? route_->latencyGoal * LatencyGoalFactor : route_->eventGapGoal * PauseGoalFactor;
+    return promised.count() <= 0 ? DefaultSilence : std::clamp(promised, MinSilence, MaxSilence);
 }
 
 void ForwardedRequest::watchSilence()
@@ -35,31 +36,32 @@
     tools_.loop->cancel(silenceTimer_);
     const TimePoint now = tools_.loop->now();
     const Duration left = attempt_->lastByteAt + silenceLimit() - now;
-    // An answer that is overdue at a server that answers others is looked at again after as long.
+    // If the limit has passed already, but the server is sending other answers, check again after another full limit.
     silenceDueAt_ = now + (left > Duration(0) ? left : silenceLimit());
     silenceTimer_ = tools_.loop->after(silenceDueAt_ - now, [weak = weak_from_this()] {
         if (const auto self = weak.lock()) {
-            self->onSilenceTime();
+            self->onSilenceTimeout();
         }
     });
 }
 
-// Nothing on any channel: a server that answers others is busy with this request, or its answer is lost on the way.
+// True if nothing was received from the server on any channel. A server that sends other answers is not silent: it is still
+// busy with this request, or the answer to it was lost on the way.
 bool ForwardedRequest::isServerSilent() const
 {
-    const auto heardAt = tools_.pool->heardAt(attempt_->server->server.instance);
-    return !heardAt || tools_.loop->now() - *heardAt >= silenceLimit();
+    const auto lastActivityAt = tools_.pool->lastActivityAt(attempt_->server->server.instance);
+    return !lastActivityAt || tools_.loop->now() - *lastActivityAt >= silenceLimit();
 }
 
-// A request that may run again goes elsewhere. Any other waits for its answer until its time is over: silence proves
-// nothing, and the answer may still come.
-void ForwardedRequest::onSilenceTime()
+// A request that may run again is retried at another server. Any other keeps waiting until its deadline: silence does not
+// prove a failure, and the answer may still come.
+void ForwardedRequest::onSilenceTimeout()
 {
     if (!attempt_ || finished_ || move_) {
         return;
     }
-    if (tools_.loop->now() - silenceDueAt_ > LateTimer) {
-        // NOTE This process stood still: what came meanwhile is still unread.
+    if (tools_.loop->now() - silenceDueAt_ > SuspensionThreshold) {
+        // NOTE This process was suspended: bytes that arrived meanwhile have not been read yet.
         attempt_->lastByteAt = tools_.loop->now();
     }
     const bool isDue = tools_.loop->now() - attempt_->lastByteAt >= silenceLimit();
@@ -74,9 +76,9 @@
             {Attribute::Events, static_cast<std::int64_t>(splitter_.events())},
             {Attribute::Attempt, std::int64_t(sends_)}});
     tools_.metrics->add("server_silences_total");
-    noteEnding(outliers::Ending::NoAnswer);
+    noteOutcome(outliers::Ending::NoAnswer);
     runs_++;
-    const bool goesElsewhere = mayRunAgain() && timeLeft() >= silenceLimit() && takeRepeat();
+    const bool goesElsewhere = mayRunAgain() && timeLeft() >= silenceLimit() && takeRetry();
     if (!goesElsewhere) {
         runs_--;
         return;
@@ -84,12 +86,12 @@
     logAttempt("silent");
     tried_.insert(attempt_->server->server.instance);
     endAttempt(false);
-    splitter_.dropRest();
+    splitter_.dropIncompleteEvent();
     tools_.metrics->retried(metrics::RetryReason::ServerSilent);
-    repeat();
+    retry();
 }
 
-void ForwardedRequest::noteEnding(outliers::Ending ending)
+void ForwardedRequest::noteOutcome(outliers::Ending ending)
 {
     const bool isFailure = ending == outliers::Ending::NoAnswer;
     if (isFailure && attempt_->failureNoted) {
@@ -97,7 +99,7 @@
     }
     attempt_->failureNoted = attempt_->failureNoted || isFailure;
     tools_.outliers->note(attempt_->server->server.instance, service_, ending);
-    // An answer may be a head alone.
+    // An answer may have no body; then its head counts as the first byte.
     const TimePoint begunAt = attempt_->hasFirstByte ? attempt_->firstByteAt : attempt_->lastByteAt;
     const bool isAnswer = ending == outliers::Ending::Answered;
     noteVersionOutcome(isAnswer ? std::optional(begunAt - attempt_->sentAt) : std::nullopt);
--- a/src/forwarding/tests/forwardertest.h
+++ b/src/forwarding/tests/forwardertest.h
@@ -27,21 +27,21 @@
 };
 
 /// What a customer's allowance says, set by the test.
-class FixedGate : public AllowanceGate
+class FakeAllowanceGate : public AllowanceGate
 {
 public:
-    AllowanceVerdict take(const manifest::Customer &, std::int64_t amount) override
+    AllowanceDecision take(const manifest::Customer &, std::int64_t amount) override
     {
         taken += amount;
-        return verdict;
+        return decision;
     }
 
-    void giveBack(const manifest::Customer &, std::int64_t amount) override
+    void refund(const manifest::Customer &, std::int64_t amount) override
     {
         taken -= amount;
     }
 
-    AllowanceVerdict verdict;
+    AllowanceDecision decision;
     std::int64_t taken = 0;
 };
 
@@ -51,11 +51,11 @@
 protected:
     ForwarderTest()
     {
-        manifests_ = manifest::ManifestKeeper::create();
+        manifests_ = manifest::ManifestCache::create();
         directory_ = directory::Directory::create();
         pool_ = ServerPool::create(*loop_, directory_);
         log_ = eventlog::EventLog::create(clock_, "vm", [this](std::string_view line) {
-            lines_ += line;
+            logLines_ += line;
             return true;
         });
         ForwarderTools tools;
@@ -67,7 +67,7 @@
         tools.metrics = metrics::Metrics::create();
         tools.demand = std::make_shared<ServiceDemand>();
         tools.outliers = outliers::OutlierDetector::create(*loop_, log_);
-        tools.peerWork = std::make_shared<PeerWork>();
+        tools.peerBacklog = std::make_shared<PeerBacklog>();
         tools.prefixes = prefixindex::PrefixIndex::create(*loop_);
         tools.allowances = gate_;
         tools.wire = platform::requestFormat();
@@ -91,7 +91,7 @@
     }
 
     /// Has idempotent requests broken off at each server that they reach; how many were sent again.
-    int repeatsOfBroken(int requests)
+    int countRetriesOfBroken(int requests)
     {
         const int before = arrivals();
         // Time may have been skipped, and keys are judged on fresh knowledge only.
@@ -105,7 +105,7 @@
                         backend.requests.pop_front();
                     }
                 }
-                return answered(*client, "502");
+                return hasStatus(*client, "502");
             })) << client->received();
         }
         return arrivals() - before - requests;
@@ -165,7 +165,7 @@
         manifest.routes.back().timeout = milliseconds(150);
         for (manifest::Route &route : manifest.routes) {
             route.latencyGoal = LatencyGoal;
-            route.pauseGoal = LatencyGoal;
+            route.eventGapGoal = LatencyGoal;
         }
         manifest.services.resize(1);
         manifest.services[0].name = "service";
@@ -174,7 +174,7 @@
         manifest.customers[0].name = "customer";
         manifest.customers[0].keys = {"key"};
         manifest.customers[0].allowance.perSecond = 100;
-        manifests_->offer(std::move(manifest));
+        manifests_->update(std::move(manifest));
         manifests_->confirm(loop_->now());
     }
 
@@ -243,7 +243,7 @@
         return head;
     }
 
-    bool answered(http1::RawClient &client, const std::string &status)
+    bool hasStatus(http1::RawClient &client, const std::string &status)
     {
         return client.received().starts_with("HTTP/1.1 " + status) && client.received().find("\r\n\r\n") != std::string::npos;
     }
@@ -263,17 +263,17 @@
         return body;
     }
 
-    std::shared_ptr<manifest::ManifestKeeper> manifests_;
+    std::shared_ptr<manifest::ManifestCache> manifests_;
     std::shared_ptr<directory::Directory> directory_;
     std::shared_ptr<ServerPool> pool_;
     std::shared_ptr<eventlog::EventLog> log_;
-    std::shared_ptr<FixedGate> gate_ = std::make_shared<FixedGate>();
+    std::shared_ptr<FakeAllowanceGate> gate_ = std::make_shared<FakeAllowanceGate>();
     ForwarderTools tools_;
     std::optional<std::size_t> vmCount_ = 1;
     std::shared_ptr<Forwarder> forwarder_;
     std::shared_ptr<http1::CallerServer> entry_;
     std::map<std::string, Backend> backends_;
-    std::string lines_;
+    std::string logLines_;
 };
 
 } // namespace cardamomlift::forwarding
--- a/src/forwarding/tests/forwarderversions_test.cpp
+++ b/src/forwarding/tests/forwarderversions_test.cpp
@@ -1,4 +1,4 @@
-#include "forwarding/tests/fixedversions.h"
+#include "forwarding/tests/fakeversiongate.h"
 #include "forwarding/tests/forwardertest.h"
 
 namespace cardamomlift::forwarding {
@@ -19,7 +19,7 @@
         manifests_->confirm(loop_->now());
     }
 
-    std::shared_ptr<FixedVersions> versions_ = std::make_shared<FixedVersions>();
+    std::shared_ptr<FakeVersionGate> versions_ = std::make_shared<FakeVersionGate>();
 };
 
 TEST_F(ForwarderVersionsTest, AVersionOnTrialGetsNoUsualRequest)
@@ -27,7 +27,7 @@
     for (int i = 0; i < 20; i++) {
         const auto client = call(request("/safe/1"));
         next()->answer(signedHead(), "answer");
-        ASSERT_TRUE(runUntil([&] { return answered(*client, "200"); }));
+        ASSERT_TRUE(runUntil([&] { return hasStatus(*client, "200"); }));
     }
     EXPECT_EQ(backends_["new"].arrivals, 0);
     EXPECT_EQ(versions_->open, 0);
@@ -42,7 +42,7 @@
     EXPECT_EQ(backends_["new"].arrivals, 1);
     first->answer(signedHead(500), "failed");
     next()->answer(signedHead(), "answer");
-    ASSERT_TRUE(runUntil([&] { return answered(*client, "200"); }));
+    ASSERT_TRUE(runUntil([&] { return hasStatus(*client, "200"); }));
     EXPECT_EQ(backends_["new"].arrivals, 1);
     EXPECT_EQ(versions_->outcomes, (std::vector<std::string>{"v2 failed", " answered"}));
     EXPECT_EQ(versions_->open, 0);
@@ -54,8 +54,8 @@
     versions_->nextPick = VersionPick::OnTrial;
     const auto client = call(request("/safe/1"));
     next()->answer(signedHead(), "answer");
-    ASSERT_TRUE(runUntil([&] { return answered(*client, "200"); }));
-    EXPECT_EQ(versions_->givenBack, 1);
+    ASSERT_TRUE(runUntil([&] { return hasStatus(*client, "200"); }));
+    EXPECT_EQ(versions_->cancelledTrials, 1);
 }
 
 TEST_F(ForwarderVersionsTest, ARequestWithoutAnAnswerInItsTimeCountsAsFailed)
@@ -65,7 +65,7 @@
     const auto unanswered = next();
     clock_.pause();
     clock_.advance(milliseconds(200));
-    ASSERT_TRUE(runUntil([&] { return answered(*client, "504"); }));
+    ASSERT_TRUE(runUntil([&] { return hasStatus(*client, "504"); }));
     EXPECT_EQ(versions_->outcomes, std::vector<std::string>{"v2 failed"});
 }
 
--- a/src/presence/tests/tablerelaytest.h
+++ b/src/presence/tests/tablerelaytest.h
@@ -59,10 +59,10 @@
         tools.endpoint = {"10.0.0.1", static_cast<std::uint16_t>(1000 + index)};
         tools.incarnation = incarnation;
         vm.datagrams = std::make_shared<TestDatagrams>(network_, tools.endpoint);
-        tools.datagrams = vm.datagrams;
+        tools.socket = vm.datagrams;
         vm.presence = Presence::start(std::move(tools));
         rows::WatchHandlers handlers;
-        handlers.onAll = [&vm](const rows::WholeTable &whole) {
+        handlers.onSnapshot = [&vm](const rows::TableSnapshot &whole) {
             vm.known.clear();
             take(vm, whole.rows);
         };
@@ -71,7 +71,7 @@
         };
         handlers.onConfirmed = [](TimePoint) {
         };
-        handlers.onReachable = [](bool, rows::StoreFailure) {
+        handlers.onReachabilityChanged = [](bool, rows::StoreFailure) {
         };
         vm.watch = rows::RowWatch::start({loop_.get(), vm.store, log_}, "t", std::chrono::milliseconds(800), std::move(handlers));
         vm.relay = TableRelay::create(*loop_, vm.presence);
@@ -122,7 +122,7 @@
 
     std::size_t following() const
     {
-        return static_cast<std::size_t>(std::count_if(vms_.begin(), vms_.end(), [](const auto &vm) { return vm->relay->follows(); }));
+        return static_cast<std::size_t>(std::count_if(vms_.begin(), vms_.end(), [](const auto &vm) { return vm->relay->isStoreReader(); }));
     }
 
     /// Text that can't be packed into less.
--- a/src/rollout/internal/rolloutagent.cpp
+++ b/src/rollout/internal/rolloutagent.cpp
@@ -134,7 +134,7 @@
     return Eligibility::None;
 }
 
-bool RolloutAgent::isUsable(const directory::BackendServer &server)
+bool RolloutAgent::servesRegularTraffic(const directory::BackendServer &server)
 {
     const VersionState versionState = this->versionState(server);
     return versionState == VersionState::Usable || versionState == VersionState::Preferred;
@@ -185,7 +185,7 @@
     return isOnTrial ? VersionPick::OnTrial : VersionPick::Usual;
 }
 
-void RolloutAgent::giveBack(const std::string &service, const std::string &route)
+void RolloutAgent::cancelTrial(const std::string &service, const std::string &route)
 {
     const auto found = services_.find(service);
     if (found != services_.end() && found->second.budget) {
@@ -305,7 +305,7 @@
     }
 }
 
-void RolloutAgent::applyAllRecords(const rows::WholeTable &whole)
+void RolloutAgent::applyAllRecords(const rows::TableSnapshot &whole)
 {
     applyRecords(whole.rows);
     std::set<std::string_view> listed;
@@ -344,10 +344,10 @@
 void RolloutAgent::fillStatus(presence::Status &status) const
 {
     for (const auto &[service, state] : services_) {
-        if (!isUnderWay(service)) {
+        if (!isRolloutInProgress(service)) {
             continue;
         }
-        presence::RolloutNews news;
+        presence::RolloutReport news;
         news.service = presence::nameHash(service);
         news.order = state.countedOrderId;
         news.counts = toRolloutCounts(state.own);
@@ -358,7 +358,7 @@
 
 void RolloutAgent::receiveStatus(const presence::Status &status)
 {
-    for (const presence::RolloutNews &news : status.rollouts) {
+    for (const presence::RolloutReport &news : status.rollouts) {
         for (auto &[service, state] : services_) {
             if (presence::nameHash(service) == news.service && news.order == state.countedOrderId) {
                 state.peerReports[{status.instance, status.incarnation}] = {fromRolloutCounts(news.counts), news.openAtOthers, tools_.loop->now()};
@@ -410,7 +410,7 @@
 
 bool RolloutAgent::isAnyUnderWay() const
 {
-    return std::any_of(services_.begin(), services_.end(), [this](const auto &entry) { return isUnderWay(entry.first); });
+    return std::any_of(services_.begin(), services_.end(), [this](const auto &entry) { return isRolloutInProgress(entry.first); });
 }
 
 bool RolloutAgent::isRecordLost(std::string_view service) const
@@ -430,7 +430,7 @@
     return services;
 }
 
-bool RolloutAgent::isUnderWay(std::string_view service) const
+bool RolloutAgent::isRolloutInProgress(std::string_view service) const
 {
     const Order *order = tools_.orders->find(service);
     const Record *known = record(service);
--- a/src/rollout/internal/rolloutcontroller.cpp
+++ b/src/rollout/internal/rolloutcontroller.cpp
@@ -41,7 +41,7 @@
 void RolloutController::tick()
 {
     const auto storeNow = tools_.storeNow();
-    if (!storeNow || !tools_.lease->mayAct()) {
+    if (!storeNow || !tools_.lease->isHeld()) {
         services_.clear();
         return;
     }
@@ -122,7 +122,7 @@
 void RolloutController::write(const std::string &service, Record record, const Verdict &verdict)
 {
     // NOTE Check right before the write: if this process was suspended, its lease may have expired.
-    if (!tools_.lease->mayAct()) {
+    if (!tools_.lease->isHeld()) {
         return;
     }
     ServiceState &state = services_[service];
--- a/src/rollout/rolloutagent.h
+++ b/src/rollout/rolloutagent.h
@@ -49,10 +49,10 @@
     static std::shared_ptr<RolloutAgent> create(AgentTools tools);
 
     forwarding::VersionPick pick(const std::string &service, const std::string &route) override;
-    void giveBack(const std::string &service, const std::string &route) override;
+    void cancelTrial(const std::string &service, const std::string &route) override;
     forwarding::Eligibility eligibility(const directory::BackendServer &server, forwarding::VersionPick pick) override;
-    bool isUnderWay(std::string_view service) const override;
-    bool isUsable(const directory::BackendServer &server) override;
+    bool isRolloutInProgress(std::string_view service) const override;
+    bool servesRegularTraffic(const directory::BackendServer &server) override;
     void noteSent(const directory::BackendServer &server) override;
     void noteEnded(const directory::BackendServer &server) override;
     void noteOutcome(const directory::BackendServer &server, const std::string &route, std::optional<Duration> firstByteAfter) override;
@@ -61,7 +61,7 @@
     void applyRecords(const std::vector<rows::Row> &rows);
     /// Applies the whole table of records and drops records that it lacks. If the store was restored from an older copy, known
     /// records that are missing there, or earlier there, are kept.
-    void applyAllRecords(const rows::WholeTable &whole);
+    void applyAllRecords(const rows::TableSnapshot &whole);
     /// @p handler is called when a rollout enters the phase Moving. Servers of other versions stop at @p stopAt; requests
     /// that are still open there must continue elsewhere before that.
     void onMoving(std::function<void(const Record &record, TimePoint stopAt)> handler);
--- a/src/rollout/rolloutcontrollermodule.cpp
+++ b/src/rollout/rolloutcontrollermodule.cpp
@@ -1,7 +1,7 @@
 #include "forwarding/forwarder.h"
 #include "kernel/module.h"
 #include "kernel/runtime.h"
-#include "presence/truetime.h"
+#include "presence/clusterclock.h"
 #include "rollout/rolloutagent.h"
 #include "rollout/rolloutcontroller.h"
 
@@ -31,7 +31,7 @@
     Result<void> start(Context &context) override
     {
         const auto agent = context.find<RolloutAgent>();
-        const auto lease = context.find<duties::DutyLease>();
+        const auto lease = context.find<duties::LeaderLease>();
         if (!agent || !lease) {
             return success();
         }
@@ -43,13 +43,13 @@
         tools.orders = context.get<OrderCache>();
         tools.directory = context.get<directory::Directory>();
         tools.log = context.get<eventlog::EventLog>();
-        tools.storeNow = [time = context.get<presence::TrueTime>()] {
+        tools.storeNow = [time = context.get<presence::ClusterClock>()] {
             return time->storeNow();
         };
         tools.format = *context.get<StatusFormat>();
         context.set(RolloutController::start(std::move(tools)));
         agent->onMoving([forwarder = context.get<forwarding::Forwarder>()](
-                            const Record &record, TimePoint stopAt) { forwarder->leaveOtherVersions(record.service, record.toVersion, stopAt); });
+                            const Record &record, TimePoint stopAt) { forwarder->moveRunsOffOtherVersions(record.service, record.toVersion, stopAt); });
         return success();
     }
 };
--- a/src/rollout/rolloutmodule.cpp
+++ b/src/rollout/rolloutmodule.cpp
@@ -1,8 +1,8 @@
 #include "kernel/module.h"
 #include "kernel/runtime.h"
+#include "presence/clusterclock.h"
 #include "presence/presence.h"
 #include "presence/tablerelay.h"
-#include "presence/truetime.h"
 #include "rollout/rolloutagent.h"
 #include "rollout/rolloutcontroller.h"
 #include "rows/rowwatch.h"
@@ -57,11 +57,11 @@
         context.set(agent_);
         context.set<forwarding::VersionGate>(agent_);
         watchRecords(context);
-        presence_->contribute([agent = agent_](presence::Status &status) { agent->fillStatus(status); });
+        presence_->addStatusContributor([agent = agent_](presence::Status &status) { agent->fillStatus(status); });
         presence_->onStatus([agent = agent_](const presence::Status &status, std::optional<TimePoint>) { agent->receiveStatus(status); });
         loop_->every(TickPeriod, [this] {
             agent_->tick();
-            watch_->setWait(agent_->isAnyUnderWay() ? RolloutWait : IdleWait);
+            watch_->setPollWait(agent_->isAnyUnderWay() ? RolloutWait : IdleWait);
         });
         return success();
     }
@@ -84,22 +84,22 @@
         tools.directory = context.get<directory::Directory>();
         tools.log = context.get<eventlog::EventLog>();
         tools.metrics = context.get<metrics::Metrics>();
-        tools.storeNow = [time = context.get<presence::TrueTime>()] {
+        tools.storeNow = [time = context.get<presence::ClusterClock>()] {
             return time->storeNow();
         };
         tools.vmCount = [presence = presence_] {
             return presence->vmCount();
         };
         tools.upFor = [presence = presence_] {
-            return presence->upFor();
+            return presence->uptime();
         };
         tools.recordsConfirmedAt = [this] {
             return watch_ ? watch_->confirmedAt() : std::nullopt;
         };
         tools.hearsController = [presence = presence_, &context] {
-            const auto lease = context.find<duties::DutyLease>();
-            const auto heard = presence->heardLately(std::max(ControllerHeardWithin, presence->period() * 2));
-            return (lease && lease->mayAct()) || std::any_of(heard.begin(), heard.end(), [](const presence::Peer *peer) { return peer->status->holdsLease; });
+            const auto lease = context.find<duties::LeaderLease>();
+            const auto heard = presence->recentlyHeard(std::max(ControllerHeardWithin, presence->period() * 2));
+            return (lease && lease->isHeld()) || std::any_of(heard.begin(), heard.end(), [](const presence::Peer *peer) { return peer->status->holdsLease; });
         };
         return tools;
     }
@@ -107,7 +107,7 @@
     void watchRecords(Context &context)
     {
         rows::WatchHandlers handlers;
-        handlers.onAll = [this](const rows::WholeTable &whole) {
+        handlers.onSnapshot = [this](const rows::TableSnapshot &whole) {
             agent_->applyAllRecords(whole);
         };
         handlers.onChanges = [this](const std::vector<rows::Row> &rows) {
@@ -115,7 +115,7 @@
         };
         handlers.onConfirmed = [](TimePoint) {
         };
-        handlers.onReachable = [](bool, rows::StoreFailure) {
+        handlers.onReachabilityChanged = [](bool, rows::StoreFailure) {
         };
         watch_ = rows::RowWatch::start({loop_, context.get<rows::RowStore>(), context.get<eventlog::EventLog>()}, RecordsTable, IdleWait, std::move(handlers));
         context.get<presence::TableRelay>()->add(watch_, MaxRelayedAge);
--- a/src/rollout/tests/rolloutagent_test.cpp
+++ b/src/rollout/tests/rolloutagent_test.cpp
@@ -103,7 +103,7 @@
     /// The store was restored from a copy with these rows in the table of records.
     void restoreRecords(const std::vector<rows::Row> &rows)
     {
-        rows::WholeTable whole;
+        rows::TableSnapshot whole;
         whole.rows = rows;
         whole.version = {2, 180};
         whole.reason = rows::ReadReason::StoreRestored;
@@ -251,7 +251,7 @@
     EXPECT_EQ(eligibility("new-1"), Eligibility::None);
     EXPECT_EQ(eligibility("old-1"), Eligibility::Preferred);
     EXPECT_EQ(picked(200), 0);
-    EXPECT_FALSE(agent_->isUnderWay(Service));
+    EXPECT_FALSE(agent_->isRolloutInProgress(Service));
 }
 
 TEST_F(RolloutAgentTest, ALateRecordChangesNothing)
--- a/src/rollout/tests/rolloutcontroller_test.cpp
+++ b/src/rollout/tests/rolloutcontroller_test.cpp
@@ -88,7 +88,7 @@
     void watchRecords(TestVm &vm)
     {
         rows::WatchHandlers handlers;
-        handlers.onAll = [agent = vm.agent](const rows::WholeTable &whole) {
+        handlers.onSnapshot = [agent = vm.agent](const rows::TableSnapshot &whole) {
             agent->applyAllRecords(whole);
         };
         handlers.onChanges = [agent = vm.agent](const std::vector<rows::Row> &rows) {
@@ -96,7 +96,7 @@
         };
         handlers.onConfirmed = [](TimePoint) {
         };
-        handlers.onReachable = [](bool, rows::StoreFailure) {
+        handlers.onReachabilityChanged = [](bool, rows::StoreFailure) {
         };
         vm.watch = rows::RowWatch::start({loop_.get(), vm.vm.store, log_}, RecordsTable, milliseconds(800), std::move(handlers));
     }
@@ -166,7 +166,7 @@
 {
     const TestVm one = startVm("1");
     pass(seconds(2));
-    ASSERT_TRUE(one.vm.lease->mayAct());
+    ASSERT_TRUE(one.vm.lease->isHeld());
     const TestVm two = startVm("2");
     order(two);
     pass(seconds(3));
@@ -185,7 +185,7 @@
     one.vm.store->faults.silent = true;
     tell(two, 10);
     pass(seconds(8));
-    ASSERT_TRUE(two.vm.lease->mayAct());
+    ASSERT_TRUE(two.vm.lease->isHeld());
     EXPECT_EQ(told(), ReportedState::RolledBack);
     EXPECT_EQ(two.agent->record(Service)->endsAt, endsAt) << "the time limit is that of the order";
     // What the first one had in mind no longer fits the record.
