--- a/src/allowance/allowancelimiter.h
+++ b/src/allowance/allowancelimiter.h
@@ -10,7 +10,7 @@
 
 namespace cardamomlift::allowance {
 
-/// Keeps customers' allowances over all entry VMs, by what each VM tells the others.
+/// Enforces customers' allowances over all entry VMs, from the usage that the VMs report in their statuses.
 class AllowanceLimiter : public forwarding::AllowanceGate, public std::enable_shared_from_this<AllowanceLimiter>
 {
 public:
@@ -20,15 +20,15 @@
 
 private:
     AllowanceLimiter(EventLoop &loop, std::shared_ptr<presence::Presence> presence);
-    Account &account(const std::string &customer);
-    Account &accountOf(std::uint64_t customer);
-    void fill(presence::Status &status);
-    void takeStatus(const presence::Status &status);
-    void forgetPeers();
+    BucketEstimate &bucketByName(const std::string &customer);
+    BucketEstimate &bucketByHash(std::uint64_t customer);
+    void fillStatus(presence::Status &status);
+    void applyStatus(const presence::Status &status);
+    void resetPeers();
     EventLoop &loop_;
     std::shared_ptr<presence::Presence> presence_;
     TimePoint startedAt_;
-    std::unordered_map<std::uint64_t, Account> accounts_; ///< By the hash of the customer's name.
+    std::unordered_map<std::uint64_t, BucketEstimate> buckets_; ///< Keyed by the hash of the customer's name.
 };
 
 } // namespace cardamomlift::allowance
--- a/src/allowance/allowancerules.h
+++ b/src/allowance/allowancerules.h
@@ -4,29 +4,30 @@
 
 namespace cardamomlift::allowance {
 
-/// What the customer is thought to have left now, over all VMs.
-double availableLevel(const Account &account, TimePoint now);
-/// The part of the refill that this VM may use while the bucket runs low: its part of what is asked.
-double ownShare(const Account &account, std::size_t vmCount, TimePoint now);
-/// The part of what the customer asks of all VMs that the refill of its bucket covers.
-double fittingPart(const Account &account, const manifest::Allowance &allowance, TimePoint now);
-/// Brings the levels up to @p now.
-void refill(Account &account, const manifest::Allowance &allowance, std::size_t vmCount, TimePoint now);
-/// What this VM's callers ask in a second, as of @p now.
-double askedNow(const Account &account, TimePoint now);
-/// What the callers of the other VMs ask in a second, as these said lately.
-double peersAskedNow(const Account &account, TimePoint now);
-/// Counts what was asked, let through or not.
-void noteAsked(Account &account, double amount, TimePoint now);
-/// Takes @p amount if there is room; call refill() first. From a full bucket anyone takes. From a low one each VM of few takes
-/// its share, and each VM of many lets the same part of its requests through, so that VMs whose news of each other is some
-/// tenths of a second old do not take the same rest twice. Small requests pass where long ones wait, within a bounded debt.
-bool take(Account &account, const manifest::Allowance &allowance, double amount, TimePoint now);
-/// When take() may succeed again.
-Duration timeUntilRoom(const Account &account, const manifest::Allowance &allowance, std::size_t vmCount, TimePoint now);
-/// A peer's status came, or a group's summary.
-void notePeer(Account &account, const std::string &instance, PeerUse use);
-/// The VMs tell of themselves in other groups from now on: what is known to be taken stays, counters begin anew.
-void forgetPeers(Account &account, TimePoint now);
+/// Returns the estimated level of the customer's bucket, after what all VMs have taken.
+double availableLevel(const BucketEstimate &bucket, TimePoint now);
+/// Returns the fraction of the refill that this VM may use while the bucket runs low: its fraction of the demand at all VMs.
+double ownShare(const BucketEstimate &bucket, std::size_t vmCount, TimePoint now);
+/// Returns the fraction of the customer's demand at all VMs that the refill of its bucket covers.
+double admittedFraction(const BucketEstimate &bucket, const manifest::Allowance &allowance, TimePoint now);
+/// Refills the bucket and this VM's share up to @p now.
+void refill(BucketEstimate &bucket, const manifest::Allowance &allowance, std::size_t vmCount, TimePoint now);
+/// Returns what this VM's callers request per second, as of @p now.
+double localDemand(const BucketEstimate &bucket, TimePoint now);
+/// Returns what the callers of the other VMs request per second, from recent statuses.
+double peerDemand(const BucketEstimate &bucket, TimePoint now);
+/// Adds a request to the local demand, whether it is admitted or not.
+void recordDemand(BucketEstimate &bucket, double amount, TimePoint now);
+/// Takes @p amount if the request is admitted; call refill() first. From a full bucket, any VM can take. While it runs low, few
+/// VMs take their shares of the refill, and many VMs admit the same fraction of their requests, so that VMs whose statuses are
+/// some tenths of a second old don't take the same remainder twice. Small requests are admitted where long ones have to wait,
+/// up to a bounded debt.
+bool take(BucketEstimate &bucket, const manifest::Allowance &allowance, double amount, TimePoint now);
+/// Returns the time after which take() can succeed again.
+Duration retryDelay(const BucketEstimate &bucket, const manifest::Allowance &allowance, std::size_t vmCount, TimePoint now);
+/// Applies a status of another VM, or the summary of a group.
+void recordPeerUsage(BucketEstimate &bucket, const std::string &instance, PeerUsage use);
+/// Drops the known peers after the VMs were divided into other groups. What they have taken stays deducted from the level.
+void resetPeers(BucketEstimate &bucket, TimePoint now);
 
 } // namespace cardamomlift::allowance
--- a/src/allowance/internal/allowancelimiter.cpp
+++ b/src/allowance/internal/allowancelimiter.cpp
@@ -8,8 +8,8 @@
 
 namespace {
 
-/// A young process that does not know how many VMs there are takes no more than one of so many.
-constexpr std::size_t VmsWhileUnknown = 16;
+/// The number of VMs that a new process assumes until it knows how many there are; it limits what that process takes.
+constexpr std::size_t AssumedVmCount = 16;
 constexpr int HashBits = 64;
 
 } // namespace
@@ -23,93 +23,93 @@
 
 std::shared_ptr<AllowanceLimiter> AllowanceLimiter::create(EventLoop &loop, std::shared_ptr<presence::Presence> presence)
 {
-    std::shared_ptr<AllowanceLimiter> keeper(new AllowanceLimiter(loop, std::move(presence)));
-    const std::weak_ptr<AllowanceLimiter> weak = keeper;
-    keeper->presence_->contribute([weak](presence::Status &status) {
+    std::shared_ptr<AllowanceLimiter> limiter(new AllowanceLimiter(loop, std::move(presence)));
+    const std::weak_ptr<AllowanceLimiter> weak = limiter;
+    limiter->presence_->contribute([weak](presence::Status &status) {
         if (const auto self = weak.lock()) {
-            self->fill(status);
+            self->fillStatus(status);
         }
     });
-    keeper->presence_->onStatus([weak](const presence::Status &status, std::optional<TimePoint>) {
+    limiter->presence_->onStatus([weak](const presence::Status &status, std::optional<TimePoint>) {
         if (const auto self = weak.lock()) {
-            self->takeStatus(status);
+            self->applyStatus(status);
         }
     });
-    keeper->presence_->onRegrouped([weak] {
+    limiter->presence_->onRegrouped([weak] {
         if (const auto self = weak.lock()) {
-            self->forgetPeers();
+            self->resetPeers();
         }
     });
-    return keeper;
+    return limiter;
 }
 
-Account &AllowanceLimiter::account(const std::string &customer)
+BucketEstimate &AllowanceLimiter::bucketByName(const std::string &customer)
 {
-    return accountOf(presence::nameHash(customer));
+    return bucketByHash(presence::nameHash(customer));
 }
 
-// Nothing was taken here before the first request, so its bucket fills from the start of the process.
-Account &AllowanceLimiter::accountOf(std::uint64_t customer)
+// This VM took nothing before the customer's first request, so the bucket refills from the start of the process.
+BucketEstimate &AllowanceLimiter::bucketByHash(std::uint64_t customer)
 {
-    const auto [place, isNew] = accounts_.try_emplace(customer);
+    const auto [entry, isNew] = buckets_.try_emplace(customer);
     if (isNew) {
-        place->second.beganAt = startedAt_;
-        place->second.updatedAt = startedAt_;
-        place->second.askedAt = loop_.now();
-        place->second.turn = std::ldexp(static_cast<double>(customer ^ presence_->incarnation()), -HashBits);
+        entry->second.startedAt = startedAt_;
+        entry->second.updatedAt = startedAt_;
+        entry->second.demandUpdatedAt = loop_.now();
+        entry->second.admissionCredit = std::ldexp(static_cast<double>(customer ^ presence_->incarnation()), -HashBits);
     }
-    return place->second;
+    return entry->second;
 }
 
 forwarding::AllowanceDecision AllowanceLimiter::take(const manifest::Customer &customer, std::int64_t amount)
 {
     const TimePoint now = loop_.now();
-    Account &books = account(customer.name);
-    const auto asked = static_cast<double>(amount);
-    noteAsked(books, asked, now);
-    const std::size_t vms = presence_->vmCount().value_or(VmsWhileUnknown);
-    refill(books, customer.allowance, vms, now);
+    BucketEstimate &bucket = bucketByName(customer.name);
+    const auto requested = static_cast<double>(amount);
+    recordDemand(bucket, requested, now);
+    const std::size_t vms = presence_->vmCount().value_or(AssumedVmCount);
+    refill(bucket, customer.allowance, vms, now);
     forwarding::AllowanceDecision decision;
     decision.requested = amount;
-    decision.remaining = static_cast<std::int64_t>(availableLevel(books, now));
+    decision.remaining = static_cast<std::int64_t>(availableLevel(bucket, now));
     decision.limitPerSecond = static_cast<std::int64_t>(customer.allowance.perSecond);
-    decision.localDemandPerSecond = static_cast<std::int64_t>(askedNow(books, now));
-    decision.remoteDemandPerSecond = static_cast<std::int64_t>(peersAskedNow(books, now));
-    decision.isAllowed = allowance::take(books, customer.allowance, asked, now);
+    decision.localDemandPerSecond = static_cast<std::int64_t>(localDemand(bucket, now));
+    decision.remoteDemandPerSecond = static_cast<std::int64_t>(peerDemand(bucket, now));
+    decision.isAllowed = allowance::take(bucket, customer.allowance, requested, now);
     if (!decision.isAllowed) {
-        decision.retryAfter = timeUntilRoom(books, customer.allowance, vms, now);
+        decision.retryAfter = retryDelay(bucket, customer.allowance, vms, now);
     }
     return decision;
 }
 
 void AllowanceLimiter::refund(const manifest::Customer &customer, std::int64_t amount)
 {
-    Account &books = account(customer.name);
-    books.level += static_cast<double>(amount);
-    books.taken -= static_cast<double>(amount);
+    BucketEstimate &bucket = bucketByName(customer.name);
+    bucket.level += static_cast<double>(amount);
+    bucket.taken -= static_cast<double>(amount);
 }
 
-void AllowanceLimiter::fill(presence::Status &status)
+void AllowanceLimiter::fillStatus(presence::Status &status)
 {
     const TimePoint now = loop_.now();
-    for (const auto &[customer, books] : accounts_) {
-        status.demands.push_back({customer, askedNow(books, now), books.taken});
+    for (const auto &[customer, bucket] : buckets_) {
+        status.demands.push_back({customer, localDemand(bucket, now), bucket.taken});
     }
 }
 
-void AllowanceLimiter::takeStatus(const presence::Status &status)
+void AllowanceLimiter::applyStatus(const presence::Status &status)
 {
     const TimePoint now = loop_.now();
     for (const presence::CustomerDemand &demand : status.demands) {
         const bool isGroup = !status.summaryOf.empty();
-        notePeer(accountOf(demand.customer), status.instance, {status.incarnation, demand.taken, demand.perSecond, now, status.upFor, isGroup});
+        recordPeerUsage(bucketByHash(demand.customer), status.instance, {status.incarnation, demand.taken, demand.perSecond, now, status.upFor, isGroup});
     }
 }
 
-void AllowanceLimiter::forgetPeers()
+void AllowanceLimiter::resetPeers()
 {
-    for (auto &[customer, books] : accounts_) {
-        allowance::forgetPeers(books, loop_.now());
+    for (auto &[customer, bucket] : buckets_) {
+        allowance::resetPeers(bucket, loop_.now());
     }
 }
 
--- a/src/allowance/tests/allowance_test.cpp
+++ b/src/allowance/tests/allowance_test.cpp
@@ -13,54 +13,54 @@
 
 constexpr double Rate = 240'000;
 const manifest::Allowance Limit{Rate, Rate, true, 200};
-/// What may pass in a window above the allowance: a tenth of it, and a fixed amount.
+/// The excess over the allowance that is tolerated in a window: a tenth of it and a fixed amount.
 constexpr double WindowSeconds = 8;
-constexpr double Overage = 1.1;
+constexpr double Tolerance = 1.1;
 constexpr double Slack = 140'000;
-constexpr double MostInWindow = (Rate * WindowSeconds + Rate) * Overage + Slack;
+constexpr double MaxInWindow = (Rate * WindowSeconds + Rate) * Tolerance + Slack;
 constexpr milliseconds Step(10);
 constexpr int StepsPerSecond = 100;
-/// Statuses of a customer whose bucket runs low, as the fleet sends them.
-constexpr int PressedSteps = 35;
-constexpr double PressedPart = 0.9;
+/// The interval, in steps, of statuses that report a customer whose bucket runs low, as the VMs send them.
+constexpr int LowBucketSteps = 35;
+constexpr double LowBucketFraction = 0.9;
 
-/// Of the prompts that arrive.
+/// Mean number of tokens of the prompts that arrive.
 constexpr double MeanPrompt = 12'000;
 
-/// Several entry VMs with one customer, their statuses late and sometimes lost, on a clock of the test's.
+/// Several entry VMs with one customer, whose statuses are late and sometimes lost, on a simulated clock.
 class Fleet
 {
 public:
-    /// @p quietSteps: between statuses of a VM to which the bucket looks nearly full.
-    explicit Fleet(std::size_t vms, unsigned seed = 1, int quietSteps = PressedSteps)
+    /// @p fullBucketSteps: interval of the statuses of a VM that estimates the bucket as nearly full.
+    explicit Fleet(std::size_t vms, unsigned seed = 1, int fullBucketSteps = LowBucketSteps)
         : vms_(vms)
         , random_(seed)
-        , quietSteps_(quietSteps)
+        , fullBucketSteps_(fullBucketSteps)
     {
         for (Vm &vm : vms_) {
             start(vm);
         }
     }
 
-    /// The VMs are in groups of @p size from now on, and hear of other groups only their sums, which are @p quietSteps old.
-    /// Their first requests come one after the other.
+    /// Divides the VMs into groups of @p size. From other groups, they receive only summaries, at intervals of the constructor's
+    /// fullBucketSteps. The first requests at the VMs are spread over time.
     void formGroups(std::size_t size)
     {
         groupSize_ = size;
         for (Vm &vm : vms_) {
-            vm.credit = -std::uniform_real_distribution<double>(0, MeanPrompt)(random_);
+            vm.dueTokens = -std::uniform_real_distribution<double>(0, MeanPrompt)(random_);
         }
     }
 
-    /// Requests of @p tokens arrive at VM @p index at @p perSecond (in tokens) during the coming steps.
+    /// Sets the demand at VM @p index to @p perSecond tokens per second during the coming steps.
     void setDemand(std::size_t index, double perSecond)
     {
         vms_[index].demand = perSecond;
     }
 
-    void cut(std::size_t index, bool on)
+    void disconnect(std::size_t index, bool on)
     {
-        vms_[index].isCut = on;
+        vms_[index].isDisconnected = on;
     }
 
     void restart(std::size_t index)
@@ -68,12 +68,12 @@
         start(vms_[index]);
     }
 
-    /// @p deafSeconds: until the new processes have found each other.
-    void restartAll(double deafSeconds = 0)
+    /// @p isolatedSeconds: time until the new processes have found each other.
+    void restartAll(double isolatedSeconds = 0)
     {
         for (Vm &vm : vms_) {
             start(vm);
-            vm.deafSteps = static_cast<int>(deafSeconds * StepsPerSecond);
+            vm.isolatedSteps = static_cast<int>(isolatedSeconds * StepsPerSecond);
         }
     }
 
@@ -84,31 +84,31 @@
         }
     }
 
-    double offered() const
+    double demanded() const
     {
-        return offered_;
+        return demanded_;
     }
 
-    double passed() const
+    double admitted() const
     {
-        return passed_;
+        return admitted_;
     }
 
-    /// Beside the rest, each VM gets requests of @p tokens in this number of steps one.
-    void addSmall(double tokens, int everySteps)
+    /// Adds a request of @p tokens at each VM every @p everySteps steps.
+    void addSmallRequests(double tokens, int everySteps)
     {
         smallTokens_ = tokens;
-        smallEvery_ = everySteps;
+        smallRequestSteps_ = everySteps;
     }
 
-    /// Of the small requests, the part that passed.
-    double smallPassed() const
+    /// Returns the admitted fraction of the small requests.
+    double smallAdmitted() const
     {
-        return static_cast<double>(smallPassed_) / std::max(1, smallAsked_);
+        return static_cast<double>(smallAdmitted_) / std::max(1, smallRequests_);
     }
 
-    /// The most that has passed in any window.
-    double worstWindow() const
+    /// Returns the most tokens that were admitted in any window.
+    double maxWindow() const
     {
         const auto length = static_cast<std::size_t>(WindowSeconds * StepsPerSecond);
         double worst = 0;
@@ -123,31 +123,31 @@
 
     void resetTotals()
     {
-        offered_ = 0;
-        passed_ = 0;
+        demanded_ = 0;
+        admitted_ = 0;
     }
 
 private:
     struct Vm {
-        Account account;
+        BucketEstimate bucket;
         std::uint64_t incarnation = 0;
         double demand = 0;
-        double credit = 0;
-        bool isCut = false;
+        double dueTokens = 0;
+        bool isDisconnected = false;
         int sinceStatus = 0;
-        int deafSteps = 0; ///< Left in which it neither tells nor hears.
-        PeerUse told; ///< To its group.
+        int isolatedSteps = 0; ///< Remaining steps in which it sends and receives no statuses.
+        PeerUsage lastStatus; ///< What it last sent to its group.
     };
 
     void start(Vm &vm)
     {
-        vm.account = Account();
-        vm.account.beganAt = now_;
-        vm.account.updatedAt = now_;
-        vm.account.askedAt = now_;
-        vm.account.turn = std::uniform_real_distribution<double>(0, 1)(random_);
+        vm.bucket = BucketEstimate();
+        vm.bucket.startedAt = now_;
+        vm.bucket.updatedAt = now_;
+        vm.bucket.demandUpdatedAt = now_;
+        vm.bucket.admissionCredit = std::uniform_real_distribution<double>(0, 1)(random_);
         vm.incarnation = ++incarnations_;
-        vm.told = PeerUse();
+        vm.lastStatus = PeerUsage();
     }
 
     void step()
@@ -157,22 +157,22 @@
         for (std::size_t i = 0; i < vms_.size(); i++) {
             arrive(vms_[i]);
             arriveSmall(vms_[i]);
-            tell(i);
+            sendStatus(i);
         }
     }
 
     void arrive(Vm &vm)
     {
-        vm.credit += vm.demand / StepsPerSecond;
-        while (vm.credit > 0) {
+        vm.dueTokens += vm.demand / StepsPerSecond;
+        while (vm.dueTokens > 0) {
             std::lognormal_distribution<double> size(9.0, 0.9);
             const double tokens = std::min(size(random_), 60'000.0);
-            vm.credit -= tokens;
-            offered_ += tokens;
-            noteAsked(vm.account, tokens, now_);
-            refill(vm.account, Limit, vms_.size(), now_);
-            if (take(vm.account, Limit, tokens, now_)) {
-                passed_ += tokens;
+            vm.dueTokens -= tokens;
+            demanded_ += tokens;
+            recordDemand(vm.bucket, tokens, now_);
+            refill(vm.bucket, Limit, vms_.size(), now_);
+            if (take(vm.bucket, Limit, tokens, now_)) {
+                admitted_ += tokens;
                 perStep_.back() += tokens;
             }
         }
@@ -180,78 +180,78 @@
 
     void arriveSmall(Vm &vm)
     {
-        if (smallEvery_ == 0 || perStep_.size() % static_cast<std::size_t>(smallEvery_) != 0) {
+        if (smallRequestSteps_ == 0 || perStep_.size() % static_cast<std::size_t>(smallRequestSteps_) != 0) {
             return;
         }
-        smallAsked_++;
-        noteAsked(vm.account, smallTokens_, now_);
-        refill(vm.account, Limit, vms_.size(), now_);
-        if (take(vm.account, Limit, smallTokens_, now_)) {
-            smallPassed_++;
+        smallRequests_++;
+        recordDemand(vm.bucket, smallTokens_, now_);
+        refill(vm.bucket, Limit, vms_.size(), now_);
+        if (take(vm.bucket, Limit, smallTokens_, now_)) {
+            smallAdmitted_++;
             perStep_.back() += smallTokens_;
         }
     }
 
-    void tell(std::size_t index)
+    void sendStatus(std::size_t index)
     {
         Vm &vm = vms_[index];
         vm.sinceStatus++;
         if (groupSize_ > 0) {
-            tellGroup(index);
+            sendGroupStatus(index);
             return;
         }
-        const bool isPressed = availableLevel(vm.account, now_) < PressedPart * Limit.burst;
-        if (vm.sinceStatus < (isPressed ? PressedSteps : quietSteps_)) {
+        const bool isBucketLow = availableLevel(vm.bucket, now_) < LowBucketFraction * Limit.burst;
+        if (vm.sinceStatus < (isBucketLow ? LowBucketSteps : fullBucketSteps_)) {
             return;
         }
         vm.sinceStatus = 0;
         for (std::size_t i = 0; i < vms_.size(); i++) {
-            const bool isGone = isLost();
-            if (i != index && !isGone && !vm.isCut && !vms_[i].isCut) {
-                notePeer(
-                    vms_[i].account, std::to_string(index), {vm.incarnation, vm.account.taken, askedNow(vm.account, now_), now_, now_ - vm.account.beganAt});
+            const bool isStatusLost = isLost();
+            if (i != index && !isStatusLost && !vm.isDisconnected && !vms_[i].isDisconnected) {
+                recordPeerUsage(
+                    vms_[i].bucket, std::to_string(index), {vm.incarnation, vm.bucket.taken, localDemand(vm.bucket, now_), now_, now_ - vm.bucket.startedAt});
             }
         }
     }
 
-    void tellGroup(std::size_t index)
+    void sendGroupStatus(std::size_t index)
     {
         Vm &vm = vms_[index];
-        if (vm.deafSteps > 0) {
-            vm.deafSteps--;
+        if (vm.isolatedSteps > 0) {
+            vm.isolatedSteps--;
             return;
         }
-        // Statuses and questions of the VMs are spread over the period.
-        if ((perStep_.size() + index) % static_cast<std::size_t>(quietSteps_) != 0 || vm.isCut) {
+        // The statuses and summary requests of the VMs are spread over the interval.
+        if ((perStep_.size() + index) % static_cast<std::size_t>(fullBucketSteps_) != 0 || vm.isDisconnected) {
             return;
         }
-        vm.told = {vm.incarnation, vm.account.taken, askedNow(vm.account, now_), now_, now_ - vm.account.beganAt};
+        vm.lastStatus = {vm.incarnation, vm.bucket.taken, localDemand(vm.bucket, now_), now_, now_ - vm.bucket.startedAt};
         for (std::size_t i = 0; i < vms_.size(); i++) {
-            if (i != index && i / groupSize_ == index / groupSize_ && !isLost() && !vms_[i].isCut) {
-                notePeer(vms_[i].account, std::to_string(index), vm.told);
+            if (i != index && i / groupSize_ == index / groupSize_ && !isLost() && !vms_[i].isDisconnected) {
+                recordPeerUsage(vms_[i].bucket, std::to_string(index), vm.lastStatus);
             }
         }
         for (std::size_t first = 0; first < vms_.size(); first += groupSize_) {
             if (first / groupSize_ != index / groupSize_ && !isLost()) {
-                notePeer(vm.account, "group " + std::to_string(first), sumOf(first));
+                recordPeerUsage(vm.bucket, "group " + std::to_string(first), summaryOf(first));
             }
         }
     }
 
-    PeerUse sumOf(std::size_t first) const
+    PeerUsage summaryOf(std::size_t first) const
     {
-        PeerUse sum;
-        sum.isGroup = true;
-        sum.heardAt = now_;
+        PeerUsage summary;
+        summary.isGroup = true;
+        summary.receivedAt = now_;
         for (std::size_t i = first; i < std::min(first + groupSize_, vms_.size()); i++) {
-            if (!vms_[i].isCut) {
-                sum.incarnation ^= vms_[i].told.incarnation * 0x9E3779B97F4A7C15U;
-                sum.taken += vms_[i].told.taken;
-                sum.perSecond += vms_[i].told.perSecond;
-                sum.upFor = std::max(sum.upFor, now_ - vms_[i].account.beganAt);
+            if (!vms_[i].isDisconnected) {
+                summary.incarnation ^= vms_[i].lastStatus.incarnation * 0x9E3779B97F4A7C15U;
+                summary.taken += vms_[i].lastStatus.taken;
+                summary.demandPerSecond += vms_[i].lastStatus.demandPerSecond;
+                summary.uptime = std::max(summary.uptime, now_ - vms_[i].bucket.startedAt);
             }
         }
-        return sum;
+        return summary;
     }
 
     bool isLost()
@@ -262,19 +262,19 @@
     std::vector<Vm> vms_;
     std::size_t groupSize_ = 0;
     std::mt19937 random_;
-    int quietSteps_;
+    int fullBucketSteps_;
     TimePoint now_{std::chrono::hours(1)};
     std::uint64_t incarnations_ = 0;
     std::vector<double> perStep_;
-    double offered_ = 0;
-    double passed_ = 0;
+    double demanded_ = 0;
+    double admitted_ = 0;
     double smallTokens_ = 0;
-    int smallEvery_ = 0;
-    int smallAsked_ = 0;
-    int smallPassed_ = 0;
+    int smallRequestSteps_ = 0;
+    int smallRequests_ = 0;
+    int smallAdmitted_ = 0;
 };
 
-/// How uneven callers spread over the VMs: the first of eight gets a quarter of all.
+/// The uneven distribution of the demand over eight VMs: the first gets over a quarter of it.
 constexpr double Uneven[] = {0.28, 0.2, 0.15, 0.12, 0.1, 0.08, 0.05, 0.02};
 
 void spread(Fleet &fleet, double total)
@@ -295,27 +295,27 @@
     fleet.run(3);
     fleet.resetTotals();
     fleet.run(60);
-    EXPECT_GT(fleet.passed() / fleet.offered(), 0.99);
+    EXPECT_GT(fleet.admitted() / fleet.demanded(), 0.99);
 }
 
-// A customer's long prompts are far over its limit; its bookings of 200 tokens, ten a second at each VM, are not the cause.
-TEST_P(AllowanceSeeds, SmallRequestsPassWhileLongPromptsAreOverTheLimit)
+// A customer exceeds its limit by far with long prompts, but not with its small requests of 200 tokens, ten a second at each VM.
+TEST_P(AllowanceSeeds, SmallRequestsAreAdmittedWhileLongPromptsAreOverTheLimit)
 {
     Fleet fleet(8, GetParam());
     spread(fleet, Rate * 0.55 * 7.5);
-    fleet.addSmall(200, 10);
+    fleet.addSmallRequests(200, 10);
     fleet.run(40);
-    EXPECT_GT(fleet.smallPassed(), 0.97);
-    EXPECT_LT(fleet.worstWindow(), MostInWindow);
+    EXPECT_GT(fleet.smallAdmitted(), 0.97);
+    EXPECT_LT(fleet.maxWindow(), MaxInWindow);
 }
 
-TEST_P(AllowanceSeeds, SmallRequestsAloneDoNotPassTheLimitEither)
+TEST_P(AllowanceSeeds, SmallRequestsAloneDoNotExceedTheLimitEither)
 {
     Fleet fleet(8, GetParam());
-    fleet.addSmall(Rate * 0.002, 1);
+    fleet.addSmallRequests(Rate * 0.002, 1);
     fleet.run(40);
-    EXPECT_LT(fleet.smallPassed(), 0.9) << "1.6 times the limit is asked";
-    EXPECT_LT(fleet.worstWindow(), MostInWindow);
+    EXPECT_LT(fleet.smallAdmitted(), 0.9) << "the demand is 1.6 times the limit";
+    EXPECT_LT(fleet.maxWindow(), MaxInWindow);
 }
 
 TEST_P(AllowanceSeeds, SevenTimesTheUsualStaysWithinTheLimitInAnyWindow)
@@ -327,10 +327,10 @@
     fleet.run(12);
     spread(fleet, Rate * 0.55);
     fleet.run(10);
-    EXPECT_LT(fleet.worstWindow(), MostInWindow);
+    EXPECT_LT(fleet.maxWindow(), MaxInWindow);
 }
 
-TEST_P(AllowanceSeeds, SeventyNineVmsThatSeldomTellKeepTheLimitToo)
+TEST_P(AllowanceSeeds, SeventyNineVmsWithInfrequentStatusesKeepTheLimitToo)
 {
     constexpr std::size_t Vms = 79;
     Fleet fleet(Vms, GetParam(), 140);
@@ -343,10 +343,11 @@
     fleet.run(10);
     demand(Rate * 0.55 * 7.5);
     fleet.run(12);
-    EXPECT_LT(fleet.worstWindow(), MostInWindow);
+    EXPECT_LT(fleet.maxWindow(), MaxInWindow);
 }
 
-/// 288 VMs in 12 groups, which tell of a customer that is pressed each 0.35 s, with @p total asked evenly: a prompt is as much as a VM's part of many seconds.
+/// 288 VMs in 12 groups that send statuses for a customer with a low bucket every 0.35 s. The demand is even over the VMs, so one
+/// prompt is as much as a VM's share of many seconds.
 constexpr std::size_t ManyVms = 288;
 constexpr int GroupSteps = 35;
 
@@ -371,7 +372,7 @@
     fleet.run(5);
     fleet.resetTotals();
     fleet.run(20);
-    EXPECT_GT(fleet.passed() / fleet.offered(), 0.98);
+    EXPECT_GT(fleet.admitted() / fleet.demanded(), 0.98);
 }
 
 TEST_P(AllowanceSeeds, ManyVmsInGroupsKeepTheLimitAtSevenTimesTheUsual)
@@ -381,20 +382,20 @@
     fleet.run(10);
     spreadOverMany(fleet, Rate * 0.55 * 7.5);
     fleet.run(12);
-    EXPECT_LT(fleet.worstWindow(), MostInWindow);
+    EXPECT_LT(fleet.maxWindow(), MaxInWindow);
 }
 
-TEST_P(AllowanceSeeds, ManyVmsInGroupsGiveWhatIsAllowed)
+TEST_P(AllowanceSeeds, ManyVmsInGroupsAdmitWhatIsAllowed)
 {
     Fleet fleet = manyVms(GetParam());
     spreadOverMany(fleet, Rate * 1.3);
     fleet.run(10);
     fleet.resetTotals();
     fleet.run(20);
-    EXPECT_GT(fleet.passed(), Rate * 20 * 0.85);
+    EXPECT_GT(fleet.admitted(), Rate * 20 * 0.85);
 }
 
-TEST_P(AllowanceSeeds, ManyVmsInGroupsKeepTheLimitWhenHalfOfThemStartAgain)
+TEST_P(AllowanceSeeds, ManyVmsInGroupsKeepTheLimitWhenHalfOfThemAreRestarted)
 {
     Fleet fleet = manyVms(GetParam());
     spreadOverMany(fleet, Rate * 0.55 * 4);
@@ -403,18 +404,18 @@
         fleet.restart(i);
     }
     fleet.run(8);
-    EXPECT_LT(fleet.worstWindow(), MostInWindow);
+    EXPECT_LT(fleet.maxWindow(), MaxInWindow);
 }
 
-TEST_P(AllowanceSeeds, WhatIsAllowedIsAlsoGiven)
+TEST_P(AllowanceSeeds, WhatIsAllowedIsAlsoAdmitted)
 {
     Fleet fleet(8, GetParam());
     spread(fleet, Rate * 4);
     fleet.run(10);
     fleet.resetTotals();
     fleet.run(30);
-    EXPECT_GT(fleet.passed(), Rate * 30 * 0.9);
-    EXPECT_LT(fleet.passed(), Rate * 30 * 1.1);
+    EXPECT_GT(fleet.admitted(), Rate * 30 * 0.9);
+    EXPECT_LT(fleet.admitted(), Rate * 30 * 1.1);
 }
 
 TEST_P(AllowanceSeeds, UnevenCallersALittleOverTheLimitGetAllOfIt)
@@ -424,34 +425,34 @@
     fleet.run(10);
     fleet.resetTotals();
     fleet.run(30);
-    EXPECT_GT(fleet.passed(), Rate * 30 * 0.9);
+    EXPECT_GT(fleet.admitted(), Rate * 30 * 0.9);
 }
 
-TEST_P(AllowanceSeeds, KillsAndCutsOfSomeVmsDoNotRaiseTheLimit)
+TEST_P(AllowanceSeeds, RestartsAndDisconnectionsOfSomeVmsDoNotRaiseTheLimit)
 {
     Fleet fleet(8, GetParam());
     spread(fleet, Rate * 3);
     fleet.run(10);
-    fleet.cut(0, true);
-    fleet.cut(3, true);
+    fleet.disconnect(0, true);
+    fleet.disconnect(3, true);
     fleet.run(5);
     fleet.restart(1);
     fleet.restart(2);
     fleet.run(3);
-    fleet.cut(0, false);
-    fleet.cut(3, false);
+    fleet.disconnect(0, false);
+    fleet.disconnect(3, false);
     fleet.run(10);
-    EXPECT_LT(fleet.worstWindow(), MostInWindow);
+    EXPECT_LT(fleet.maxWindow(), MaxInWindow);
 }
 
-TEST_P(AllowanceSeeds, AllVmsRestartedAtOnceDoNotHandOutTheBurstAgain)
+TEST_P(AllowanceSeeds, AllVmsRestartedAtOnceDoNotGrantTheBurstAgain)
 {
     Fleet fleet(8, GetParam());
     spread(fleet, Rate * 3);
     fleet.run(10);
     fleet.restartAll();
     fleet.run(10);
-    EXPECT_LT(fleet.worstWindow(), MostInWindow);
+    EXPECT_LT(fleet.maxWindow(), MaxInWindow);
 }
 
 TEST_P(AllowanceSeeds, AllVmsRestartedAtOnceServeACustomerWithinItsLimitFromTheirFirstRequest)
@@ -462,7 +463,7 @@
     fleet.restartAll();
     fleet.resetTotals();
     fleet.run(2);
-    EXPECT_GT(fleet.passed() / fleet.offered(), 0.99);
+    EXPECT_GT(fleet.admitted() / fleet.demanded(), 0.99);
 }
 
 TEST_P(AllowanceSeeds, AllVmsRestartedTwiceAtSevenTimesTheUsualStayWithinTheLimit)
@@ -475,7 +476,7 @@
         fleet.run(3);
     }
     fleet.run(8);
-    EXPECT_LT(fleet.worstWindow(), MostInWindow);
+    EXPECT_LT(fleet.maxWindow(), MaxInWindow);
 }
 
 TEST_P(AllowanceSeeds, SeventyNineVmsRestartedTwiceAtSevenTimesTheUsualStayWithinTheLimit)
@@ -491,7 +492,7 @@
         fleet.run(3);
     }
     fleet.run(8);
-    EXPECT_LT(fleet.worstWindow(), MostInWindow);
+    EXPECT_LT(fleet.maxWindow(), MaxInWindow);
 }
 
 TEST_P(AllowanceSeeds, VmsRestartedOneAfterTheOtherAtThreeTimesTheLimitKeepIt)
@@ -504,11 +505,11 @@
         fleet.run(1);
     }
     fleet.run(8);
-    EXPECT_LT(fleet.worstWindow(), MostInWindow);
+    EXPECT_LT(fleet.maxWindow(), MaxInWindow);
 }
 
-/// Ninety VMs in four groups that are all restarted while @p total is asked of them. They find each other after 0.8 s, as
-/// with real processes: until then each has its own idea of the bucket.
+/// Ninety VMs in four groups that are all restarted under a demand of @p total. They find each other after 0.8 s, as real processes
+/// do. Until then, each estimates the bucket on its own.
 Fleet ninetyVmsRestarted(unsigned seed, double total)
 {
     constexpr std::size_t Vms = 90;
@@ -527,65 +528,66 @@
 {
     Fleet fleet = ninetyVmsRestarted(GetParam(), Rate * 0.55 * 7.5);
     fleet.run(8);
-    EXPECT_LT(fleet.worstWindow(), MostInWindow);
+    EXPECT_LT(fleet.maxWindow(), MaxInWindow);
 }
 
 INSTANTIATE_TEST_SUITE_P(Seeds, AllowanceSeeds, testing::Range(1U, 9U));
 
-// Blind for 0.8 of two seconds, each VM may pass its even parts, which hold a usual prompt: half of what comes then is the least,
-// and all of the rest. Over many seeds: two seconds hold some twenty prompts, of which one may be a sixth of all.
+// For 0.8 of two seconds the VMs don't know each other, and each admits its initial shares, which hold a prompt of usual size: at
+// least half of the demand in that time, and all of it afterwards. Many seeds are needed since two seconds have only some twenty
+// prompts, of which one can be a sixth of the demand.
 TEST(AllowanceRestart, NinetyVmsInGroupsAllRestartedServeACustomerWithinItsLimit)
 {
-    double passed = 0;
-    double offered = 0;
+    double admitted = 0;
+    double demanded = 0;
     for (unsigned seed = 1; seed <= 40; seed++) {
         Fleet fleet = ninetyVmsRestarted(seed, Rate * 0.55);
         fleet.run(2);
-        passed += fleet.passed();
-        offered += fleet.offered();
+        admitted += fleet.admitted();
+        demanded += fleet.demanded();
     }
-    EXPECT_GT(passed / offered, 0.8);
+    EXPECT_GT(admitted / demanded, 0.8);
 }
 
-// Two VMs of one group answer within a millisecond; what the second has counted more was not taken in that time.
-TEST(AllowanceRules, SumsOfAGroupThatComeAtOnceAreNoRate)
+// Two VMs of one group answer within a millisecond. What the second has counted in addition was not taken in that millisecond.
+TEST(AllowanceRules, SummariesOfAGroupThatArriveTogetherDoNotChangeItsRate)
 {
     const TimePoint start{std::chrono::hours(1)};
-    Account account;
-    account.beganAt = start - std::chrono::seconds(10);
-    account.updatedAt = start;
-    const auto sum = [start](std::uint64_t members, double taken, Duration at) {
-        return PeerUse{members, taken, 50'000, start + at, std::chrono::seconds(10), true};
+    BucketEstimate bucket;
+    bucket.startedAt = start - std::chrono::seconds(10);
+    bucket.updatedAt = start;
+    const auto summary = [start](std::uint64_t members, double taken, Duration at) {
+        return PeerUsage{members, taken, 50'000, start + at, std::chrono::seconds(10), true};
     };
-    notePeer(account, "group", sum(1, 400'000, Duration(0)));
-    notePeer(account, "group", sum(1, 450'000, milliseconds(1)));
-    const double before = account.level;
-    // The sum is over other processes: what was taken meanwhile is reckoned from what was taken before.
-    notePeer(account, "group", sum(2, 420'000, milliseconds(1001)));
-    EXPECT_GT(account.level, before - 100'000);
+    recordPeerUsage(bucket, "group", summary(1, 400'000, Duration(0)));
+    recordPeerUsage(bucket, "group", summary(1, 450'000, milliseconds(1)));
+    const double before = bucket.level;
+    // This summary is of other processes, so what was taken since is estimated from the rate before.
+    recordPeerUsage(bucket, "group", summary(2, 420'000, milliseconds(1001)));
+    EXPECT_GT(bucket.level, before - 100'000);
 }
 
-// A young process of many says when it will know what the others take.
-TEST(AllowanceRules, ARefusalByAYoungProcessEndsWhenItHasHeardTheOthers)
+// With many VMs, a new process returns the time until it will know what the others take.
+TEST(AllowanceRules, ARefusalByANewProcessEndsWhenItKnowsTheOthers)
 {
     const TimePoint start{std::chrono::hours(1)};
-    Account account;
-    account.beganAt = start;
-    account.updatedAt = start;
+    BucketEstimate bucket;
+    bucket.startedAt = start;
+    bucket.updatedAt = start;
     const TimePoint now = start + milliseconds(200);
-    refill(account, Limit, 90, now);
-    EXPECT_FALSE(take(account, Limit, 60'000, now));
-    EXPECT_EQ(timeUntilRoom(account, Limit, 90, now), milliseconds(1000));
-    EXPECT_TRUE(take(account, Limit, 1'000, now));
+    refill(bucket, Limit, 90, now);
+    EXPECT_FALSE(take(bucket, Limit, 60'000, now));
+    EXPECT_EQ(retryDelay(bucket, Limit, 90, now), milliseconds(1000));
+    EXPECT_TRUE(take(bucket, Limit, 1'000, now));
 }
 
 TEST(AllowanceRules, ARefusalSaysWhenThereIsRoom)
 {
-    Account account;
+    BucketEstimate bucket;
     const TimePoint now(std::chrono::hours(1));
-    account.updatedAt = now;
-    account.shareLevel = -Rate;
-    const Duration wait = timeUntilRoom(account, Limit, 1, now);
+    bucket.updatedAt = now;
+    bucket.shareLevel = -Rate;
+    const Duration wait = retryDelay(bucket, Limit, 1, now);
     EXPECT_GT(wait, milliseconds(500));
     EXPECT_LE(wait, std::chrono::seconds(8));
 }
--- a/src/serverlimits/tests/limitmodel.h
+++ b/src/serverlimits/tests/limitmodel.h
@@ -91,7 +91,7 @@
         TimePoint learnsLimitAt; ///< When it learns of a changed limit; zero: no change is due.
         PermitSchedule schedule;
         double bucketTokens = 0;
-        allowance::Account account;
+        allowance::BucketEstimate bucket;
         TimePoint nextStatusAt;
     };
     static constexpr Duration Step = std::chrono::milliseconds(10);
@@ -138,9 +138,9 @@
         vm.schedule.server = Server;
         setRate(vm.schedule, vm.knownRate, storeTime(vm, at));
         vm.bucketTokens = uniform(0, 1);
-        vm.account.beganAt = at;
-        vm.account.updatedAt = at;
-        vm.account.turn = uniform(0, 1);
+        vm.bucket.startedAt = at;
+        vm.bucket.updatedAt = at;
+        vm.bucket.admissionCredit = uniform(0, 1);
     }
 
     Duration statusPeriod() const
@@ -232,9 +232,9 @@
         }
         case Strategy::Allowance: {
             const manifest::Allowance limit{vm.knownRate, 3 + vm.knownRate, false, 1};
-            allowance::noteAsked(vm.account, 1, now_);
-            allowance::refill(vm.account, limit, vms_.size(), now_);
-            return allowance::take(vm.account, limit, 1, now_);
+            allowance::recordDemand(vm.bucket, 1, now_);
+            allowance::refill(vm.bucket, limit, vms_.size(), now_);
+            return allowance::take(vm.bucket, limit, 1, now_);
         }
         }
         return false;
@@ -267,10 +267,10 @@
             return;
         }
         vm.nextStatusAt = now_ + statusPeriod();
-        const allowance::PeerUse use{1, vm.account.taken, allowance::askedNow(vm.account, now_), now_, now_ - vm.account.beganAt, false};
+        const allowance::PeerUsage use{1, vm.bucket.taken, allowance::localDemand(vm.bucket, now_), now_, now_ - vm.bucket.startedAt, false};
         for (std::size_t i = 0; i < vms_.size(); i++) {
             if (i != index) {
-                allowance::notePeer(vms_[i].account, std::to_string(index), use);
+                allowance::recordPeerUsage(vms_[i].bucket, std::to_string(index), use);
             }
         }
     }
