--- a/src/allowance/internal/allowancelimiter.cpp
+++ b/src/allowance/internal/allowancelimiter.cpp
@@ -25,7 +25,7 @@
 {
     std::shared_ptr<AllowanceLimiter> limiter(new AllowanceLimiter(loop, std::move(presence)));
     const std::weak_ptr<AllowanceLimiter> weak = limiter;
-    limiter->presence_->contribute([weak](presence::Status &status) {
+    limiter->presence_->addStatusContributor([weak](presence::Status &status) {
         if (const auto self = weak.lock()) {
             self->fillStatus(status);
         }
@@ -102,7 +102,7 @@
     const TimePoint now = loop_.now();
     for (const presence::CustomerDemand &demand : status.demands) {
         const bool isGroup = !status.summaryOf.empty();
-        recordPeerUsage(bucketByHash(demand.customer), status.instance, {status.incarnation, demand.taken, demand.perSecond, now, status.upFor, isGroup});
+        recordPeerUsage(bucketByHash(demand.customer), status.instance, {status.incarnation, demand.admittedTotal, demand.perSecond, now, status.uptime, isGroup});
     }
 }
 
--- a/src/rollout/internal/rolloutagent.cpp
+++ b/src/rollout/internal/rolloutagent.cpp
@@ -344,7 +344,7 @@
         if (!isRolloutInProgress(service)) {
             continue;
         }
-        presence::RolloutNews news;
+        presence::RolloutReport news;
         news.service = presence::nameHash(service);
         news.order = state.countedFor;
         news.counts = toRolloutCounts(state.own);
@@ -355,7 +355,7 @@
 
 void RolloutAgent::receiveStatus(const presence::Status &status)
 {
-    for (const presence::RolloutNews &news : status.rollouts) {
+    for (const presence::RolloutReport &news : status.rollouts) {
         for (auto &[service, state] : services_) {
             if (presence::nameHash(service) == news.service && news.order == state.countedFor) {
                 state.told[{status.instance, status.incarnation}] = {fromRolloutCounts(news.counts), news.openAtOthers, tools_.loop->now()};
--- a/src/rollout/rolloutcontrollermodule.cpp
+++ b/src/rollout/rolloutcontrollermodule.cpp
@@ -1,7 +1,7 @@
 #include "forwarding/forwarder.h"
 #include "kernel/module.h"
 #include "kernel/runtime.h"
-#include "presence/truetime.h"
+#include "presence/clusterclock.h"
 #include "rollout/rolloutagent.h"
 #include "rollout/rolloutcontroller.h"
 
@@ -43,7 +43,7 @@
         tools.orders = context.get<OrderCache>();
         tools.directory = context.get<directory::Directory>();
         tools.log = context.get<eventlog::EventLog>();
-        tools.storeNow = [time = context.get<presence::TrueTime>()] {
+        tools.storeNow = [time = context.get<presence::ClusterClock>()] {
             return time->storeNow();
         };
         tools.format = *context.get<StatusFormat>();
