--- a/src/rollout/internal/rolloutagent.cpp
+++ b/src/rollout/internal/rolloutagent.cpp
@@ -238,7 +238,7 @@
     open = std::max(0, open - 1);
 }
 
-void RolloutAgent::noteOutcome(const directory::BackendServer &server, const std::string &route, std::optional<Duration> firstByteAfter)
+void RolloutAgent::noteOutcome(const directory::BackendServer &server, const std::string &route, std::optional<Duration> timeToFirstByte)
 {
     ServiceState &state = services_[server.service];
     const Order *order = tools_.orders->find(server.service);
@@ -248,7 +248,7 @@
     }
     SendOutcome outcome;
     outcome.route = presence::nameHash(route);
-    outcome.firstByteAfter = firstByteAfter;
+    outcome.timeToFirstByte = timeToFirstByte;
     if (server.version == order->toVersion) {
         outcome.trialServer = presence::nameHash(server.instance);
     }
@@ -347,21 +347,21 @@
         if (!isRolloutInProgress(service)) {
             continue;
         }
-        presence::RolloutReport news;
-        news.service = presence::nameHash(service);
-        news.order = state.countedOrderId;
-        news.counts = toRolloutCounts(state.own);
-        news.openAtOthers = ownOpenAtOtherVersions(state);
-        status.rollouts.push_back(std::move(news));
+        presence::RolloutReport report;
+        report.service = presence::nameHash(service);
+        report.order = state.countedOrderId;
+        report.counts = toRolloutCounts(state.own);
+        report.openAtOthers = ownOpenAtOtherVersions(state);
+        status.rollouts.push_back(std::move(report));
     }
 }
 
 void RolloutAgent::receiveStatus(const presence::Status &status)
 {
-    for (const presence::RolloutReport &news : status.rollouts) {
+    for (const presence::RolloutReport &report : status.rollouts) {
         for (auto &[service, state] : services_) {
-            if (presence::nameHash(service) == news.service && news.order == state.countedOrderId) {
-                state.peerReports[{status.instance, status.incarnation}] = {fromRolloutCounts(news.counts), news.openAtOthers, tools_.loop->now()};
+            if (presence::nameHash(service) == report.service && report.order == state.countedOrderId) {
+                state.peerReports[{status.instance, status.incarnation}] = {fromRolloutCounts(report.counts), report.openAtOthers, tools_.loop->now()};
             }
         }
     }
@@ -408,7 +408,7 @@
     return sum;
 }
 
-bool RolloutAgent::isAnyUnderWay() const
+bool RolloutAgent::isAnyInProgress() const
 {
     return std::any_of(services_.begin(), services_.end(), [this](const auto &entry) { return isRolloutInProgress(entry.first); });
 }
--- a/src/rollout/internal/rolloutoutcomes.cpp
+++ b/src/rollout/internal/rolloutoutcomes.cpp
@@ -83,8 +83,8 @@
 {
     RouteOutcomes &route = outcomes[outcome.route];
     OutcomeCounts &counts = outcome.trialServer ? route.trial[*outcome.trialServer] : route.baseline;
-    if (outcome.firstByteAfter) {
-        counts.answered[latencyBucket(*outcome.firstByteAfter)]++;
+    if (outcome.timeToFirstByte) {
+        counts.answered[latencyBucket(*outcome.timeToFirstByte)]++;
         return;
     }
     counts.failed++;
--- a/src/rollout/rolloutagent.h
+++ b/src/rollout/rolloutagent.h
@@ -36,7 +36,7 @@
     std::function<Duration()> upFor; ///< Time since this process started.
     /// The time up to which all changes of records are known to this VM; empty before the first reading.
     std::function<std::optional<TimePoint>()> recordsConfirmedAt;
-    /// Whether this VM, or one that was heard from recently, holds the duty lease and so controls rollouts.
+    /// Whether this VM, or one that was heard from recently, holds the leader lease and so controls rollouts.
     std::function<bool()> hearsController;
 };
 
@@ -55,7 +55,7 @@
     bool servesRegularTraffic(const directory::BackendServer &server) override;
     void noteSent(const directory::BackendServer &server) override;
     void noteEnded(const directory::BackendServer &server) override;
-    void noteOutcome(const directory::BackendServer &server, const std::string &route, std::optional<Duration> firstByteAfter) override;
+    void noteOutcome(const directory::BackendServer &server, const std::string &route, std::optional<Duration> timeToFirstByte) override;
 
     /// Applies new rows of the table of records.
     void applyRecords(const std::vector<rows::Row> &rows);
@@ -80,7 +80,7 @@
     RolloutOutcomes outcomes(const std::string &service) const;
     /// Open requests, at servers of other versions, of this VM and of the VMs that were heard recently.
     std::uint64_t openAtOtherVersions(const std::string &service) const;
-    bool isAnyUnderWay() const;
+    bool isAnyInProgress() const;
     std::vector<std::string> servicesWithRecord() const;
 
 private:
--- a/src/rollout/rolloutcontroller.h
+++ b/src/rollout/rolloutcontroller.h
@@ -34,7 +34,7 @@
     StatusFormat format;
 };
 
-/// Decides on the steps of rollouts while this VM holds the duty lease. A step is one transaction that writes the record,
+/// Decides on the steps of rollouts while this VM holds the leader lease. A step is one transaction that writes the record,
 /// which all VMs follow, and the state reported to the platform. Its condition is that the stored record is the one known to
 /// this VM. So no step is lost or repeated when the lease changes hands.
 class RolloutController : public std::enable_shared_from_this<RolloutController>
--- a/src/rollout/rolloutmodule.cpp
+++ b/src/rollout/rolloutmodule.cpp
@@ -61,7 +61,7 @@
         presence_->onStatus([agent = agent_](const presence::Status &status, std::optional<TimePoint>) { agent->receiveStatus(status); });
         loop_->every(TickPeriod, [this] {
             agent_->tick();
-            watch_->setPollWait(agent_->isAnyUnderWay() ? RolloutWait : IdleWait);
+            watch_->setPollWait(agent_->isAnyInProgress() ? RolloutWait : IdleWait);
         });
         return success();
     }
--- a/src/rollout/rolloutoutcomes.h
+++ b/src/rollout/rolloutoutcomes.h
@@ -46,7 +46,7 @@
 struct SendOutcome {
     std::uint64_t route = 0;
     std::optional<std::uint64_t> trialServer; ///< nameHash() of the server if it is on trial; empty: it runs another version.
-    std::optional<Duration> firstByteAfter; ///< Time to the first byte; empty: the attempt failed.
+    std::optional<Duration> timeToFirstByte; ///< Time to the first byte; empty: the attempt failed.
 };
 
 void addOutcome(RolloutOutcomes &outcomes, const SendOutcome &outcome);
--- a/src/rollout/rollouttypes.h
+++ b/src/rollout/rollouttypes.h
@@ -26,7 +26,7 @@
     RolledBack, ///< The target version gets no more requests.
 };
 
-/// The stored state of a service's newest rollout. Only the holder of the duty lease writes it.
+/// The stored state of a service's newest rollout. Only the holder of the leader lease writes it.
 struct Record {
     rows::StoreVersion orderId; ///< Order::id of the order that is being carried out.
     std::string service;
--- a/src/rollout/tests/rolloutagent_test.cpp
+++ b/src/rollout/tests/rolloutagent_test.cpp
@@ -17,7 +17,7 @@
 constexpr char Route[] = "route";
 constexpr rows::StoreVersion OrderRow{1, 100};
 
-/// One VM's keeper, whose surroundings the test sets.
+/// The agent of one VM. The test controls the store's clock, the age of the records and whether a controller is heard.
 class RolloutAgentTest : public testing::Test
 {
 protected:
@@ -73,8 +73,8 @@
         directory_->put(std::move(server));
     }
 
-    /// Orders v2, whose servers are listed after the order.
-    void order()
+    /// Places an order for v2, whose servers are listed after the order.
+    void placeOrder()
     {
         orders_->put({Service, "v2", seconds(12), OrderRow});
         orders_->noteKnownUpTo({1, 120});
@@ -82,7 +82,7 @@
         list("new-2", "v2", 111);
     }
 
-    static Record recordIn(Phase phase)
+    static Record recordInPhase(Phase phase)
     {
         Record record;
         record.orderId = OrderRow;
@@ -95,12 +95,12 @@
         return record;
     }
 
-    void write(Phase phase)
+    void writeRecord(Phase phase)
     {
-        agent_->applyRecords({{Service, encodeRecord(recordIn(phase)), {1, ++rowVersion_}}});
+        agent_->applyRecords({{Service, encodeRecord(recordInPhase(phase)), {1, ++rowVersion_}}});
     }
 
-    /// The store was restored from a copy with these rows in the table of records.
+    /// Simulates a restore of the store from a copy with these rows in the table of records.
     void restoreRecords(const std::vector<rows::Row> &rows)
     {
         rows::TableSnapshot whole;
@@ -115,7 +115,7 @@
         return agent_->eligibility(directory_->findNamed(name)->server, pick);
     }
 
-    /// Of @p requests, those that are picked for the trial.
+    /// How many of @p requests are picked for the trial.
     int picked(int requests)
     {
         int sum = 0;
@@ -137,14 +137,14 @@
     std::string lines_;
 };
 
-TEST_F(RolloutAgentTest, WithoutAnOrderAllServersGetWork)
+TEST_F(RolloutAgentTest, WithoutAnOrderAllServersAreEligible)
 {
     EXPECT_EQ(eligibility("old-1"), Eligibility::Preferred);
     EXPECT_EQ(picked(1000), 0);
 }
 
-// The list may tell of a server before this VM has read the order that it was started for.
-TEST_F(RolloutAgentTest, AServerOfAnUnknownVersionWaitsUntilItsOrderWouldBeKnown)
+// A server may be listed before this VM has read the order that the server was started for.
+TEST_F(RolloutAgentTest, AServerOfANewVersionIsNotEligibleBeforeItsOrderWouldBeKnown)
 {
     list("new-1", "v2", 110);
     EXPECT_EQ(eligibility("old-1"), Eligibility::Preferred);
@@ -155,7 +155,7 @@
     EXPECT_EQ(eligibility("new-1"), Eligibility::Preferred);
 }
 
-TEST_F(RolloutAgentTest, AProcessThatHasJustBegunServesByWhatItHas)
+TEST_F(RolloutAgentTest, AStartingProcessUsesUncheckedServersAsFallback)
 {
     list("first", "v1", 110);
     EXPECT_EQ(eligibility("first"), Eligibility::Fallback);
@@ -163,32 +163,32 @@
     EXPECT_EQ(eligibility("first"), Eligibility::Preferred);
 }
 
-TEST_F(RolloutAgentTest, AnOrderedVersionGetsNothingBeforeItsTrialBegins)
+TEST_F(RolloutAgentTest, AnOrderedVersionGetsNoRequestsBeforeItsTrial)
 {
-    order();
+    placeOrder();
     EXPECT_EQ(eligibility("new-1"), Eligibility::None);
     EXPECT_EQ(picked(1000), 0);
 }
 
-TEST_F(RolloutAgentTest, ATrialGetsItsPartAndNoMore)
+TEST_F(RolloutAgentTest, ATrialGetsItsShareAndNoMore)
 {
-    order();
-    write(Phase::Trial);
+    placeOrder();
+    writeRecord(Phase::Trial);
     EXPECT_EQ(eligibility("new-1"), Eligibility::None);
     EXPECT_EQ(eligibility("old-1"), Eligibility::Preferred);
-    const int first = picked(1000);
-    EXPECT_GT(first, 70);
-    EXPECT_LE(first, 110);
+    const int onTrial = picked(1000);
+    EXPECT_GT(onTrial, 70);
+    EXPECT_LE(onTrial, 110);
     const bool isPreferred =
         eligibility("new-1", VersionPick::OnTrial) == Eligibility::Preferred || eligibility("new-2", VersionPick::OnTrial) == Eligibility::Preferred;
     EXPECT_TRUE(isPreferred);
     EXPECT_EQ(eligibility("old-1", VersionPick::OnTrial), Eligibility::None);
 }
 
-TEST_F(RolloutAgentTest, ATrialStopsWithoutFreshKnowledgeWithoutAJudgeAndAtItsEnd)
+TEST_F(RolloutAgentTest, ATrialStopsWithOutdatedRecordsWithoutAControllerAndAtItsEnd)
 {
-    order();
-    write(Phase::Trial);
+    placeOrder();
+    writeRecord(Phase::Trial);
     ASSERT_GT(picked(200), 0);
     clock_.advance(milliseconds(2900));
     EXPECT_EQ(picked(200), 0);
@@ -202,11 +202,11 @@
     EXPECT_NE(lines_.find("\"no_judge\""), std::string::npos);
 }
 
-// The holder of the lease may be gone: what this VM and those that it hears have seen is enough to stop.
-TEST_F(RolloutAgentTest, ATrialStopsWhenWhatIsKnownHereSpeaksAgainstIt)
+// The lease holder may be unreachable, so the outcomes known to this VM suffice to stop a trial here.
+TEST_F(RolloutAgentTest, ATrialStopsWhenTheKnownOutcomesAreBad)
 {
-    order();
-    write(Phase::Trial);
+    placeOrder();
+    writeRecord(Phase::Trial);
     presence::Status status;
     status.instance = "vm-2";
     status.incarnation = 1;
@@ -222,52 +222,52 @@
     EXPECT_NE(lines_.find("\"looks_bad\""), std::string::npos);
 }
 
-TEST_F(RolloutAgentTest, TrafficMovesAndTheOthersStayForNeed)
+TEST_F(RolloutAgentTest, OtherVersionsAreAFallbackWhileTrafficMoves)
 {
-    order();
-    write(Phase::Moving);
+    placeOrder();
+    writeRecord(Phase::Moving);
     EXPECT_EQ(eligibility("new-1"), Eligibility::Preferred);
     EXPECT_EQ(eligibility("old-1"), Eligibility::Fallback);
     EXPECT_EQ(picked(200), 0);
 }
 
-TEST_F(RolloutAgentTest, TellsWhenTheOthersStop)
+TEST_F(RolloutAgentTest, ReportsWhenOtherVersionsStop)
 {
-    order();
+    placeOrder();
     std::optional<TimePoint> stopAt;
     agent_->onMoving([&stopAt](const Record &, TimePoint at) { stopAt = at; });
     storeNow_ = seconds(1008);
-    write(Phase::Moving);
+    writeRecord(Phase::Moving);
     ASSERT_TRUE(stopAt);
     EXPECT_LE(*stopAt - loop_->now(), milliseconds(4000));
     EXPECT_GE(*stopAt - loop_->now(), milliseconds(2000));
 }
 
-TEST_F(RolloutAgentTest, ARolledBackVersionGetsNothingAlsoWhereItIsStillListed)
+TEST_F(RolloutAgentTest, ARolledBackVersionGetsNoRequestsWhileItIsListed)
 {
-    order();
-    write(Phase::Trial);
-    write(Phase::RolledBack);
+    placeOrder();
+    writeRecord(Phase::Trial);
+    writeRecord(Phase::RolledBack);
     EXPECT_EQ(eligibility("new-1"), Eligibility::None);
     EXPECT_EQ(eligibility("old-1"), Eligibility::Preferred);
     EXPECT_EQ(picked(200), 0);
     EXPECT_FALSE(agent_->isRolloutInProgress(Service));
 }
 
-TEST_F(RolloutAgentTest, ALateRecordChangesNothing)
+TEST_F(RolloutAgentTest, AnOutdatedRecordIsIgnored)
 {
-    order();
-    write(Phase::RolledBack);
+    placeOrder();
+    writeRecord(Phase::RolledBack);
     rowVersion_ -= 2;
-    write(Phase::Trial);
+    writeRecord(Phase::Trial);
     EXPECT_EQ(eligibility("new-1"), Eligibility::None);
     EXPECT_EQ(picked(200), 0);
 }
 
-TEST_F(RolloutAgentTest, CountsWhatRunsAtTheOtherVersions)
+TEST_F(RolloutAgentTest, CountsOpenRequestsAtOtherVersions)
 {
-    order();
-    write(Phase::Moving);
+    placeOrder();
+    writeRecord(Phase::Moving);
     const auto &old = directory_->findNamed("old-1")->server;
     agent_->noteSent(old);
     agent_->noteSent(old);
@@ -283,60 +283,60 @@
     EXPECT_EQ(agent_->openAtOtherVersions(Service), 1U);
 }
 
-TEST_F(RolloutAgentTest, TellsWhatRequestsCameToSinceTheTrialBegan)
+TEST_F(RolloutAgentTest, ReportsOutcomesSinceTheTrialBegan)
 {
-    order();
+    placeOrder();
     const auto server = directory_->findNamed("new-1")->server;
     agent_->noteOutcome(server, Route, std::nullopt);
-    write(Phase::Trial);
+    writeRecord(Phase::Trial);
     agent_->noteOutcome(server, Route, milliseconds(20));
     agent_->noteOutcome(directory_->findNamed("old-1")->server, Route, std::nullopt);
     presence::Status status;
     agent_->fillStatus(status);
     ASSERT_EQ(status.rollouts.size(), 1U);
-    const RolloutOutcomes told = fromRolloutCounts(status.rollouts[0].counts);
-    const RouteOutcomes &route = told.at(presence::nameHash(Route));
+    const RolloutOutcomes reported = fromRolloutCounts(status.rollouts[0].counts);
+    const RouteOutcomes &route = reported.at(presence::nameHash(Route));
     EXPECT_EQ(route.baseline.failed, 1U);
     EXPECT_EQ(route.trial.at(presence::nameHash("new-1")).total(), 1U);
 }
 
-// A version that was rolled back in the time that the copy lacks would be tried once more.
-TEST_F(RolloutAgentTest, ARecordDoesNotGoBackWithTheStore)
+// If the copy is from before a rollback, the version would otherwise be tried once more.
+TEST_F(RolloutAgentTest, ARestoreOfTheStoreDoesNotRevertARecord)
 {
-    order();
-    write(Phase::RolledBack);
-    restoreRecords({{Service, encodeRecord(recordIn(Phase::Trial)), {2, 150}}});
+    placeOrder();
+    writeRecord(Phase::RolledBack);
+    restoreRecords({{Service, encodeRecord(recordInPhase(Phase::Trial)), {2, 150}}});
     EXPECT_EQ(eligibility("new-1"), Eligibility::None);
     EXPECT_EQ(picked(200), 0);
     EXPECT_TRUE(agent_->isRecordLost(Service));
-    EXPECT_EQ(agent_->record(Service)->rowVersion, (rows::StoreVersion{2, 150})) << "what the next step is written on";
-    agent_->applyRecords({{Service, encodeRecord(recordIn(Phase::RolledBack)), {2, 190}}});
+    EXPECT_EQ(agent_->record(Service)->rowVersion, (rows::StoreVersion{2, 150})) << "the next write is conditional on this version";
+    agent_->applyRecords({{Service, encodeRecord(recordInPhase(Phase::RolledBack)), {2, 190}}});
     EXPECT_FALSE(agent_->isRecordLost(Service));
 }
 
-// Without its record a version that is not proved would get all requests.
-TEST_F(RolloutAgentTest, ARecordThatTheCopyLacksIsKept)
+// Without its record, a version that is not shown to be good would get all requests.
+TEST_F(RolloutAgentTest, ARecordThatTheRestoredCopyLacksIsKept)
 {
-    order();
-    write(Phase::Trial);
+    placeOrder();
+    writeRecord(Phase::Trial);
     restoreRecords({});
     EXPECT_EQ(eligibility("new-1"), Eligibility::None);
     EXPECT_TRUE(agent_->isRecordLost(Service));
     EXPECT_EQ(agent_->record(Service)->rowVersion.number, 0U);
 }
 
-// Each order brings a part of the requests that may go to a version on trial.
-TEST_F(RolloutAgentTest, AnOrderThatIsWrittenAgainIsTheSame)
+// Each new order grants a new budget of requests to the version on trial.
+TEST_F(RolloutAgentTest, AnOrderThatIsWrittenAgainIsNotANewOrder)
 {
-    order();
-    const auto seen = lines_;
+    placeOrder();
+    const auto linesBefore = lines_;
     orders_->put({Service, "v1", seconds(12), {2, 20}});
-    EXPECT_EQ(orders_->find(Service)->toVersion, "v2") << "an order before it, from the copy";
+    EXPECT_EQ(orders_->find(Service)->toVersion, "v2") << "an earlier order, from the copy";
     orders_->put({Service, "v2", seconds(12), {2, 97}});
     EXPECT_EQ(orders_->find(Service)->id, OrderRow);
-    EXPECT_EQ(lines_, seen) << "nothing was ordered";
+    EXPECT_EQ(lines_, linesBefore) << "no order was logged";
     orders_->put({Service, "v2", seconds(12), {2, 99}});
-    EXPECT_EQ(orders_->find(Service)->id, (rows::StoreVersion{2, 99})) << "ordered once more";
+    EXPECT_EQ(orders_->find(Service)->id, (rows::StoreVersion{2, 99})) << "a new order for the same version";
 }
 
 } // namespace
--- a/src/rollout/tests/rolloutcontroller_test.cpp
+++ b/src/rollout/tests/rolloutcontroller_test.cpp
@@ -26,7 +26,7 @@
     return write;
 }
 
-/// One VM with its part in rollouts.
+/// One VM, with a controller and an agent.
 struct TestVm {
     duties::Vm vm;
     std::shared_ptr<OrderCache> orders = OrderCache::create();
@@ -35,7 +35,7 @@
     std::shared_ptr<RolloutController> controller;
 };
 
-/// VMs that share the store; what they tell each other is given to them by the test.
+/// VMs that share the store. Their reports to each other are supplied by the test.
 class RolloutControllerTest : public duties::DutiesTest
 {
 protected:
@@ -101,13 +101,13 @@
         vm.watch = rows::RowWatch::start({loop_.get(), vm.vm.store, log_}, RecordsTable, milliseconds(800), std::move(handlers));
     }
 
-    static void order(const TestVm &vm)
+    static void placeOrder(const TestVm &vm)
     {
         vm.orders->put({Service, "v2", seconds(12), OrderRow});
     }
 
-    /// What another VM has seen of the version: @p failed of 15 answers at each of two new servers.
-    static void tell(const TestVm &vm, std::uint64_t failed)
+    /// Reports outcomes of another VM: @p failed of 25 requests failed at each of two servers on trial.
+    static void reportOutcomes(const TestVm &vm, std::uint64_t failed)
     {
         RolloutOutcomes outcomes;
         addSends(outcomes[presence::nameHash(Route)].baseline, 300, 3);
@@ -119,8 +119,8 @@
         vm.agent->receiveStatus(status);
     }
 
-    /// The state that the platform was told last; empty: none.
-    std::optional<ReportedState> told() const
+    /// The state that was last reported to the platform; empty: none.
+    std::optional<ReportedState> reportedStatus() const
     {
         const auto page = rows_->read(StatusTable, {}, 1);
         return page.rows.empty() ? std::nullopt : std::optional(static_cast<ReportedState>(std::stoi(page.rows.front().value)));
@@ -129,119 +129,119 @@
     std::shared_ptr<directory::Directory> directory_ = directory::Directory::create();
 };
 
-TEST_F(RolloutControllerTest, AnOrderIsAnsweredAtOnce)
+TEST_F(RolloutControllerTest, AnOrderStartsATrialAtOnce)
 {
     const TestVm vm = startVm("1");
     pass(seconds(2));
-    EXPECT_EQ(told(), std::nullopt);
-    order(vm);
+    EXPECT_EQ(reportedStatus(), std::nullopt);
+    placeOrder(vm);
     pass(seconds(1));
-    EXPECT_EQ(told(), ReportedState::Running);
+    EXPECT_EQ(reportedStatus(), ReportedState::Running);
     EXPECT_EQ(vm.agent->record(Service)->phase, Phase::Trial);
 }
 
-TEST_F(RolloutControllerTest, ABadVersionIsRolledBackAsSoonAsItIsKnown)
+TEST_F(RolloutControllerTest, ABadVersionIsRolledBackAsSoonAsItIsDetected)
 {
     const TestVm vm = startVm("1");
     pass(seconds(2));
-    order(vm);
+    placeOrder(vm);
     pass(seconds(2));
-    tell(vm, 10);
+    reportOutcomes(vm, 10);
     pass(milliseconds(600));
-    EXPECT_EQ(told(), ReportedState::RolledBack);
+    EXPECT_EQ(reportedStatus(), ReportedState::RolledBack);
 }
 
 TEST_F(RolloutControllerTest, AGoodVersionSucceedsBeforeTheTimeLimit)
 {
     const TestVm vm = startVm("1");
     pass(seconds(2));
-    order(vm);
+    placeOrder(vm);
     pass(seconds(2));
-    tell(vm, 0);
+    reportOutcomes(vm, 0);
     pass(milliseconds(9500));
-    EXPECT_EQ(told(), ReportedState::Succeeded);
+    EXPECT_EQ(reportedStatus(), ReportedState::Succeeded);
 }
 
-TEST_F(RolloutControllerTest, OnlyTheHolderOfTheLeaseDecides)
+TEST_F(RolloutControllerTest, OnlyTheLeaseHolderDecides)
 {
-    const TestVm one = startVm("1");
+    const TestVm first = startVm("1");
     pass(seconds(2));
-    ASSERT_TRUE(one.vm.lease->isHeld());
-    const TestVm two = startVm("2");
-    order(two);
+    ASSERT_TRUE(first.vm.lease->isHeld());
+    const TestVm second = startVm("2");
+    placeOrder(second);
     pass(seconds(3));
-    EXPECT_EQ(told(), std::nullopt);
+    EXPECT_EQ(reportedStatus(), std::nullopt);
 }
 
-TEST_F(RolloutControllerTest, TheNextHolderGoesOnWhereTheLastOneWasCutOff)
+TEST_F(RolloutControllerTest, TheNextLeaseHolderContinuesTheRollout)
 {
-    const TestVm one = startVm("1");
+    const TestVm first = startVm("1");
     pass(seconds(2));
-    const TestVm two = startVm("2");
-    order(one);
-    order(two);
+    const TestVm second = startVm("2");
+    placeOrder(first);
+    placeOrder(second);
     pass(seconds(2));
-    const Duration endsAt = two.agent->record(Service)->endsAt;
-    one.vm.store->faults.silent = true;
-    tell(two, 10);
+    const Duration endsAt = second.agent->record(Service)->endsAt;
+    first.vm.store->faults.silent = true;
+    reportOutcomes(second, 10);
     pass(seconds(8));
-    ASSERT_TRUE(two.vm.lease->isHeld());
-    EXPECT_EQ(told(), ReportedState::RolledBack);
-    EXPECT_EQ(two.agent->record(Service)->endsAt, endsAt) << "the time limit is that of the order";
-    // What the first one had in mind no longer fits the record.
-    one.vm.store->faults.silent = false;
-    tell(one, 0);
+    ASSERT_TRUE(second.vm.lease->isHeld());
+    EXPECT_EQ(reportedStatus(), ReportedState::RolledBack);
+    EXPECT_EQ(second.agent->record(Service)->endsAt, endsAt) << "the time limit still counts from the order";
+    // The first VM regains the store. Its outcomes call for another step, but the rollout is over.
+    first.vm.store->faults.silent = false;
+    reportOutcomes(first, 0);
     pass(seconds(20));
-    EXPECT_EQ(told(), ReportedState::RolledBack);
+    EXPECT_EQ(reportedStatus(), ReportedState::RolledBack);
 }
 
-// A third of the store's answers are lost, drawn anew each tenth of a second.
+// Every tenth of a second it is drawn at random, with a probability of 0.3, whether the store's answers are lost.
 class RolloutControllerSeeds : public RolloutControllerTest, public testing::WithParamInterface<unsigned>
 {
 };
 
-TEST_P(RolloutControllerSeeds, LostAnswersOfTheStoreTakeNoStepBack)
+TEST_P(RolloutControllerSeeds, LostAnswersOfTheStoreRevertNoStep)
 {
     constexpr int StepsBetweenDraws = 10;
     constexpr double Lost = 0.3;
     std::mt19937 random(GetParam());
     const TestVm vm = startVm("1");
     pass(seconds(2));
-    order(vm);
+    placeOrder(vm);
     pass(seconds(1));
-    tell(vm, 0);
+    reportOutcomes(vm, 0);
     int last = 0;
     int step = 0;
     pass(seconds(20), [&] {
         if (step++ % StepsBetweenDraws == 0) {
             vm.vm.store->faults.loseAnswers = std::bernoulli_distribution(Lost)(random);
         }
-        const int state = static_cast<int>(told().value_or(ReportedState::Running));
+        const int state = static_cast<int>(reportedStatus().value_or(ReportedState::Running));
         EXPECT_GE(state, last);
         last = state;
     });
     vm.vm.store->faults.loseAnswers = false;
     pass(seconds(8));
-    EXPECT_EQ(told(), ReportedState::Succeeded);
+    EXPECT_EQ(reportedStatus(), ReportedState::Succeeded);
 }
 
 INSTANTIATE_TEST_SUITE_P(Seeds, RolloutControllerSeeds, testing::Range(1U, 21U));
 
-// What the platform was told must not go back with the store.
-TEST_F(RolloutControllerTest, ARecordThatWasLostIsWrittenAgain)
+// After a restore of the store from an older copy, the state reported to the platform must not stay at an earlier one.
+TEST_F(RolloutControllerTest, ALostRecordIsWrittenAgain)
 {
     const TestVm vm = startVm("1");
     pass(seconds(2));
-    order(vm);
+    placeOrder(vm);
     pass(seconds(2));
     const rows::MemoryRows copy = *rows_;
-    tell(vm, 10);
+    reportOutcomes(vm, 10);
     pass(milliseconds(600));
-    ASSERT_EQ(told(), ReportedState::RolledBack);
+    ASSERT_EQ(reportedStatus(), ReportedState::RolledBack);
     rows_->restore(copy);
-    ASSERT_EQ(told(), ReportedState::Running);
+    ASSERT_EQ(reportedStatus(), ReportedState::Running);
     pass(seconds(3));
-    EXPECT_EQ(told(), ReportedState::RolledBack);
+    EXPECT_EQ(reportedStatus(), ReportedState::RolledBack);
     EXPECT_FALSE(vm.agent->isRecordLost(Service));
 }
 
--- a/src/rollout/tests/rolloutmodel.h
+++ b/src/rollout/tests/rolloutmodel.h
@@ -14,51 +14,52 @@
 
 namespace cardamomlift::rollout::model {
 
-/// How a version is bad.
+/// What is wrong with a version.
 enum class Fault {
     None,
-    Fails, ///< From the start.
-    Slow,
-    TurnsBad, ///< Halfway through the order.
-    FailsUnderLoad, ///< Where a server gets at least half of what it would get of all requests.
-    FailsOnOneRoute, ///< The one that is used least.
+    Fails, ///< Requests fail from the start.
+    Slow, ///< Answers are slow from the start.
+    TurnsBad, ///< Requests fail after half of the time limit.
+    FailsUnderLoad, ///< Requests fail at a server with at least half of the load that it would have with all requests.
+    FailsOnOneRoute, ///< Requests fail on the least used route.
 };
 
-/// What else goes on.
+/// Disturbances that have nothing to do with the version.
 struct Noise {
-    bool hasGreyServer = false; ///< One server of the version on trial fails nearly half of its requests.
-    bool hasCrash = false; ///< One of them takes requests and answers none for four seconds.
-    bool hasBurst = false; ///< Twice the requests for three seconds; all answers take twice as long.
+    bool hasGreyServer = false; ///< One server of the version on trial fails 45 % of its requests.
+    bool hasCrash = false; ///< One of these servers accepts requests but answers none for four seconds.
+    bool hasBurst = false; ///< For three seconds, twice the requests, and all answers take twice as long.
 };
 
-/// One rollout of one service.
+/// The parameters of a simulated rollout of one service.
 struct Scenario {
     std::size_t vms = 63;
-    std::size_t servers = 112; ///< Of the new version.
+    std::size_t servers = 112; ///< Servers of the new version.
     double requestsPerSecond = 430;
     Duration timeLimit = std::chrono::seconds(12);
-    Duration start = std::chrono::seconds(4); ///< From the order until the new servers serve.
+    Duration start = std::chrono::seconds(4); ///< Time from the order until the new servers accept requests.
     Fault fault = Fault::None;
-    double portion = 0.4; ///< Of the answers that a bad version spoils.
-    double slowness = 4; ///< How many times as long a slow answer takes.
+    double portion = 0.4; ///< Share of the affected requests for which a bad version fails or is slow.
+    double slowness = 4; ///< Factor on the time to the first byte of a slow answer.
     Noise noise;
-    Verdict (*rule)(const RolloutOutcomes &all, std::span<const RolloutOutcomes> recent) = evaluateTrial; ///< What the version is judged by.
+    Verdict (*rule)(const RolloutOutcomes &all, std::span<const RolloutOutcomes> recent) = evaluateTrial; ///< The evaluation under test.
     std::uint64_t seed = 1;
 };
 
-/// What came of it.
+/// The result of a simulated rollout.
 struct SimulationResult {
     Phase phase = Phase::Trial;
-    Duration endedAt{0}; ///< Since the order: when the last phase was written.
+    Duration endedAt{0}; ///< When the last phase was written, since the order.
     std::uint64_t requests = 0;
-    std::uint64_t exposed = 0; ///< Requests that the new version got.
-    std::uint64_t badAnswers = 0;
-    double exposureBound = 0;
-    std::optional<Duration> fiftiethBadAt;
-    std::optional<Duration> lastSendAt; ///< To the new version.
+    std::uint64_t exposed = 0; ///< Requests sent to the new version.
+    std::uint64_t badAnswers = 0; ///< Requests that failed or were slow because of the version's fault.
+    double exposureBound = 0; ///< Maximum allowed value of exposed.
+    std::optional<Duration> fiftiethBadAt; ///< When the fiftieth of badAnswers was sent.
+    std::optional<Duration> lastSendAt; ///< When the last request was sent to the new version.
 };
 
-/// Plays the decisions of all VMs and of the judge, with news of its usual age, on a clock of its own.
+/// Simulates the decisions of all VMs and of the controller on a simulated clock, with the usual delays of records and
+/// reports.
 class Simulation
 {
 public:
@@ -68,12 +69,12 @@
     {
         limits_.exposureSlack = 50;
         order_ = {"service", "v2", scenario.timeLimit, 1};
-        std::uniform_real_distribution<double> draw;
+        std::uniform_real_distribution<double> uniform;
         for (std::size_t i = 0; i < scenario.vms; i++) {
-            vms_.push_back({ExposureBudget::create(limits_, scenario.vms, draw(random_)), span(100, 1200), span(200, 900)});
+            vms_.push_back({ExposureBudget::create(limits_, scenario.vms, uniform(random_)), randomDuration(100, 1200), randomDuration(200, 900)});
         }
-        grey_ = 1 + random_() % scenario.servers;
-        crashed_ = 1 + random_() % scenario.servers;
+        greyServer_ = 1 + random_() % scenario.servers;
+        crashedServer_ = 1 + random_() % scenario.servers;
     }
 
     SimulationResult run()
@@ -101,11 +102,11 @@
 private:
     struct Vm {
         ExposureBudget budget;
-        Duration hearsAfter; ///< Of a record that was written.
-        Duration toldAfter; ///< The judge hears of its outcomes.
+        Duration recordDelay; ///< Until the VM learns of a record that was written.
+        Duration reportDelay; ///< Until the controller learns of the VM's outcomes.
     };
 
-    Duration span(int fromMs, int toMs)
+    Duration randomDuration(int fromMs, int toMs)
     {
         return std::chrono::milliseconds(std::uniform_int_distribution<int>(fromMs, toMs)(random_));
     }
@@ -115,32 +116,32 @@
         return now_ >= from && now_ < to;
     }
 
-    /// The phase that @p vm goes by now.
-    std::optional<Phase> phaseStartedAt(const Vm &vm) const
+    /// The newest phase that @p vm knows.
+    std::optional<Phase> knownPhase(const Vm &vm) const
     {
         std::optional<Phase> phase;
-        for (const auto &[writtenAt, written] : written_) {
-            if (now_ >= writtenAt + vm.hearsAfter) {
+        for (const auto &[writtenAt, written] : phases_) {
+            if (now_ >= writtenAt + vm.recordDelay) {
                 phase = written;
             }
         }
         return phase;
     }
 
-    std::size_t drawRoute()
+    std::size_t randomRoute()
     {
         static constexpr std::array<double, 3> Shares{0.2, 0.4, 0.4};
-        std::discrete_distribution<std::size_t> draw(Shares.begin(), Shares.end());
-        return draw(random_);
+        std::discrete_distribution<std::size_t> distribution(Shares.begin(), Shares.end());
+        return distribution(random_);
     }
 
     void request(bool isBurst)
     {
         Vm &vm = vms_[random_() % vms_.size()];
-        const std::size_t route = drawRoute();
+        const std::size_t route = randomRoute();
         result_.requests++;
         vm.budget.addRequest(route + 1);
-        const auto phase = phaseStartedAt(vm);
+        const auto phase = knownPhase(vm);
         const bool isUp = now_ >= scenario_.start;
         const bool isOpen = trialSlice(now_, scenario_.servers, limits_.exposureShare).isOpen;
         const bool isTrial = phase == Phase::Trial && isUp && isOpen && vm.budget.trySpend(route + 1);
@@ -148,12 +149,12 @@
         answer(vm, route, isTrial || isMoved, isTrial, isBurst);
     }
 
-    std::uint64_t drawServer(bool isTrial)
+    std::uint64_t randomServer(bool isTrial)
     {
         const TrialSlice slice = trialSlice(now_, scenario_.servers, limits_.exposureShare);
-        const std::size_t most = isTrial ? slice.servers : scenario_.servers;
-        const std::uint64_t first = isTrial ? slice.number * most : 0;
-        return 1 + (first + random_() % most) % scenario_.servers;
+        const std::size_t candidates = isTrial ? slice.servers : scenario_.servers;
+        const std::uint64_t first = isTrial ? slice.number * candidates : 0;
+        return 1 + (first + random_() % candidates) % scenario_.servers;
     }
 
     bool isLoaded(std::uint64_t server)
@@ -168,7 +169,7 @@
 
     bool isFaulty(std::size_t route, std::uint64_t server)
     {
-        const bool isLoad = isLoaded(server);
+        const bool isUnderLoad = isLoaded(server);
         switch (scenario_.fault) {
         case Fault::None:
             return false;
@@ -178,7 +179,7 @@
         case Fault::TurnsBad:
             return now_ >= scenario_.timeLimit / 2;
         case Fault::FailsUnderLoad:
-            return isLoad;
+            return isUnderLoad;
         case Fault::FailsOnOneRoute:
             return route == 0;
         }
@@ -189,43 +190,43 @@
     {
         static constexpr std::array<double, 3> MedianMs{30, 60, 150};
         static constexpr std::array<double, 3> Failures{0.14, 0.004, 0.01};
-        std::uniform_real_distribution<double> draw;
+        std::uniform_real_distribution<double> uniform;
         std::lognormal_distribution<double> tookMs(std::log(MedianMs[route]), 0.6);
-        SendOutcome result;
-        result.route = route + 1;
+        SendOutcome outcome;
+        outcome.route = route + 1;
         double took = tookMs(random_) * (isBurst ? 2 : 1);
-        bool isFailed = draw(random_) < Failures[route];
+        bool isFailed = uniform(random_) < Failures[route];
         if (isNew) {
-            const std::uint64_t server = drawServer(isTrial);
-            result.trialServer = server;
+            const std::uint64_t server = randomServer(isTrial);
+            outcome.trialServer = server;
             result_.exposed++;
             result_.lastSendAt = now_;
-            const bool isSpoilt = isFaulty(route, server) && draw(random_) < scenario_.portion;
+            const bool isBadAnswer = isFaulty(route, server) && uniform(random_) < scenario_.portion;
             took *= isTrial ? 1.3 : 1; // Cold caches.
-            took *= isSpoilt && scenario_.fault == Fault::Slow ? scenario_.slowness : 1;
-            isFailed = isFailed || (isSpoilt && scenario_.fault != Fault::Slow);
-            isFailed = isFailed || (scenario_.noise.hasGreyServer && server == grey_ && draw(random_) < 0.45);
-            isFailed = isFailed || (scenario_.noise.hasCrash && server == crashed_ && isWithin(std::chrono::seconds(5), std::chrono::seconds(9)));
-            noteBad(isSpoilt);
+            took *= isBadAnswer && scenario_.fault == Fault::Slow ? scenario_.slowness : 1;
+            isFailed = isFailed || (isBadAnswer && scenario_.fault != Fault::Slow);
+            isFailed = isFailed || (scenario_.noise.hasGreyServer && server == greyServer_ && uniform(random_) < 0.45);
+            isFailed = isFailed || (scenario_.noise.hasCrash && server == crashedServer_ && isWithin(std::chrono::seconds(5), std::chrono::seconds(9)));
+            countBadAnswer(isBadAnswer);
         }
         const Duration after(static_cast<std::int64_t>(took * 1000));
-        result.firstByteAfter = isFailed ? std::nullopt : std::optional(after);
-        coming_.emplace(now_ + after + vm.toldAfter, result);
+        outcome.timeToFirstByte = isFailed ? std::nullopt : std::optional(after);
+        pendingOutcomes_.emplace(now_ + after + vm.reportDelay, outcome);
     }
 
-    void noteBad(bool isBad)
+    void countBadAnswer(bool isBadAnswer)
     {
-        result_.badAnswers += isBad ? 1 : 0;
-        if (isBad && result_.badAnswers == 50) {
+        result_.badAnswers += isBadAnswer ? 1 : 0;
+        if (isBadAnswer && result_.badAnswers == 50) {
             result_.fiftiethBadAt = now_;
         }
     }
 
     void tick(Duration at)
     {
-        while (!coming_.empty() && coming_.begin()->first <= at) {
-            addOutcome(outcomes_, coming_.begin()->second);
-            coming_.erase(coming_.begin());
+        while (!pendingOutcomes_.empty() && pendingOutcomes_.begin()->first <= at) {
+            addOutcome(outcomes_, pendingOutcomes_.begin()->second);
+            pendingOutcomes_.erase(pendingOutcomes_.begin());
         }
         PlanInput input;
         input.order = &order_;
@@ -233,8 +234,8 @@
         input.storeNow = at;
         if (record_) {
             std::vector<RolloutOutcomes> recent;
-            for (const Duration span : {std::chrono::seconds(2), std::chrono::seconds(5)}) {
-                const auto from = snapshots_.upper_bound(at - span);
+            for (const Duration period : {std::chrono::seconds(2), std::chrono::seconds(5)}) {
+                const auto from = snapshots_.upper_bound(at - period);
                 if (from != snapshots_.begin()) {
                     recent.push_back(since(outcomes_, std::prev(from)->second));
                 }
@@ -244,7 +245,7 @@
         }
         if (const auto next = nextRecord(input)) {
             record_ = next;
-            written_.emplace_back(at, next->phase);
+            phases_.emplace_back(at, next->phase);
             result_.phase = next->phase;
             result_.endedAt = at;
         }
@@ -256,14 +257,14 @@
     Duration now_{0};
     Order order_;
     std::vector<Vm> vms_;
-    std::uint64_t grey_ = 0;
-    std::uint64_t crashed_ = 0;
+    std::uint64_t greyServer_ = 0;
+    std::uint64_t crashedServer_ = 0;
     std::optional<Record> record_;
-    std::vector<std::pair<Duration, Phase>> written_;
-    std::multimap<Duration, SendOutcome> coming_; ///< By when the judge hears of it.
+    std::vector<std::pair<Duration, Phase>> phases_;
+    std::multimap<Duration, SendOutcome> pendingOutcomes_; ///< By the time at which the controller learns of it.
     RolloutOutcomes outcomes_;
     std::map<Duration, RolloutOutcomes> snapshots_;
-    std::map<std::uint64_t, std::deque<Duration>> sends_; ///< Of the last second, by server.
+    std::map<std::uint64_t, std::deque<Duration>> sends_; ///< Times of the sends within the last second, by server.
     SimulationResult result_;
 };
 
--- a/src/rollout/tests/rolloutmodel_test.cpp
+++ b/src/rollout/tests/rolloutmodel_test.cpp
@@ -16,8 +16,8 @@
 
 constexpr std::array<Fleet, 3> Fleets{Fleet{8, 4, 32}, Fleet{63, 4, 190}, Fleet{63, 112, 430}};
 
-// The load that the bounds are about: all VMs at once, with news as old as it usually is.
-TEST(RolloutModel, ABadVersionStaysWithinItsBoundsInAllWaysOfBeingBad)
+// Simulates all VMs of a deployment at once, with the usual delays of records and reports.
+TEST(RolloutModel, ABadVersionStaysWithinTheLimitsForEveryFault)
 {
     for (const Fleet &fleet : Fleets) {
         for (const Fault fault : {Fault::Fails, Fault::Slow, Fault::TurnsBad, Fault::FailsUnderLoad, Fault::FailsOnOneRoute}) {
@@ -29,19 +29,19 @@
                 scenario.fault = fault;
                 scenario.seed = static_cast<std::uint64_t>(seed);
                 const SimulationResult outcome = Simulation(scenario).run();
-                const std::string place = testing::PrintToString(fleet.vms) + " VMs, fault " + testing::PrintToString(static_cast<int>(fault)) + ", seed "
-                    + testing::PrintToString(seed);
-                EXPECT_EQ(outcome.phase, Phase::RolledBack) << place;
-                EXPECT_LE(static_cast<double>(outcome.exposed), outcome.exposureBound) << place;
+                const std::string scenarioName = testing::PrintToString(fleet.vms) + " VMs, fault " + testing::PrintToString(static_cast<int>(fault))
+                    + ", seed " + testing::PrintToString(seed);
+                EXPECT_EQ(outcome.phase, Phase::RolledBack) << scenarioName;
+                EXPECT_LE(static_cast<double>(outcome.exposed), outcome.exposureBound) << scenarioName;
                 if (outcome.fiftiethBadAt) {
-                    EXPECT_LE(*outcome.lastSendAt - *outcome.fiftiethBadAt, RolloutLimits().rollbackWithin) << place;
+                    EXPECT_LE(*outcome.lastSendAt - *outcome.fiftiethBadAt, RolloutLimits().rollbackWithin) << scenarioName;
                 }
             }
         }
     }
 }
 
-TEST(RolloutModel, AGoodVersionSucceedsInTimeBesideABadServerACrashAndABurst)
+TEST(RolloutModel, AGoodVersionSucceedsInTimeDespiteABadServerACrashOrABurst)
 {
     for (const Noise &noise : {Noise{}, Noise{true, false, false}, Noise{false, true, false}, Noise{false, false, true}}) {
         for (int seed = 1; seed <= Seeds; seed++) {
--- a/src/rollout/tests/rolloutrules_test.cpp
+++ b/src/rollout/tests/rolloutrules_test.cpp
@@ -34,21 +34,21 @@
     return result;
 }
 
-Verdict found(Finding finding)
+Verdict verdictOf(Finding finding)
 {
     Verdict verdict;
     verdict.finding = finding;
     return verdict;
 }
 
-/// The phase that follows; empty if none does.
+/// The phase of the next record; empty if nothing changes.
 std::optional<Phase> next(const Record &current, Finding finding, Duration storeNow, std::uint64_t openAtOtherVersions = 0)
 {
     const Order newest = order();
     PlanInput input;
     input.order = &newest;
     input.record = &current;
-    input.verdict = found(finding);
+    input.verdict = verdictOf(finding);
     input.storeNow = storeNow;
     input.openAtOtherVersions = openAtOtherVersions;
     const auto result = nextRecord(input);
@@ -60,25 +60,25 @@
     EXPECT_EQ(versionStateOf("v1", nullptr, nullptr), VersionState::Usable);
 }
 
-TEST(VersionRules, AnOrderThatNothingAnswersGivesItsVersionNothing)
+TEST(VersionRules, TheTargetOfAnOrderWithoutARecordIsExcluded)
 {
-    const Order ordered = order();
-    EXPECT_EQ(versionStateOf("v2", &ordered, nullptr), VersionState::Excluded);
-    EXPECT_EQ(versionStateOf("v1", &ordered, nullptr), VersionState::Usable);
+    const Order newest = order();
+    EXPECT_EQ(versionStateOf("v2", &newest, nullptr), VersionState::Excluded);
+    EXPECT_EQ(versionStateOf("v1", &newest, nullptr), VersionState::Usable);
 }
 
 TEST(VersionRules, FollowThePhase)
 {
-    const Order ordered = order();
+    const Order newest = order();
     for (const auto &[phase, versionState] : {std::pair(Phase::Trial, VersionState::OnTrial),
              std::pair(Phase::Moving, VersionState::Preferred),
              std::pair(Phase::Succeeded, VersionState::Usable),
              std::pair(Phase::RolledBack, VersionState::Excluded)}) {
         const Record current = record(phase);
-        EXPECT_EQ(versionStateOf("v2", &ordered, &current), versionState);
-        EXPECT_EQ(versionStateOf("v1", &ordered, &current), VersionState::Usable);
-        EXPECT_EQ(versionStateOf("v0", &ordered, &current), VersionState::Excluded);
-        // The order was withdrawn, or this VM has not read it: the record stands for it.
+        EXPECT_EQ(versionStateOf("v2", &newest, &current), versionState);
+        EXPECT_EQ(versionStateOf("v1", &newest, &current), VersionState::Usable);
+        EXPECT_EQ(versionStateOf("v0", &newest, &current), VersionState::Excluded);
+        // If the order was withdrawn, or this VM has not read it, the record decides.
         EXPECT_EQ(versionStateOf("v2", nullptr, &current), versionState);
     }
 }
@@ -89,24 +89,24 @@
     const Record trial = record(Phase::Trial);
     EXPECT_EQ(versionStateOf("v2", &later, &trial), VersionState::Excluded);
     EXPECT_EQ(versionStateOf("v3", &later, &trial), VersionState::Excluded);
-    const Record proved = record(Phase::Succeeded);
-    EXPECT_EQ(versionStateOf("v2", &later, &proved), VersionState::Usable);
+    const Record succeeded = record(Phase::Succeeded);
+    EXPECT_EQ(versionStateOf("v2", &later, &succeeded), VersionState::Usable);
 }
 
 TEST(RolloutPlan, BeginsWithATrial)
 {
-    const Order ordered = order();
+    const Order newest = order();
     PlanInput input;
-    input.order = &ordered;
+    input.order = &newest;
     input.storeNow = seconds(100);
-    const auto begun = nextRecord(input);
-    ASSERT_TRUE(begun);
-    EXPECT_EQ(begun->phase, Phase::Trial);
-    EXPECT_EQ(begun->endsAt, seconds(112));
-    EXPECT_EQ(begun->orderId.number, 10U);
+    const auto started = nextRecord(input);
+    ASSERT_TRUE(started);
+    EXPECT_EQ(started->phase, Phase::Trial);
+    EXPECT_EQ(started->endsAt, seconds(112));
+    EXPECT_EQ(started->orderId.number, 10U);
 }
 
-TEST(RolloutPlan, TriesAsLongAsTheOrderAllows)
+TEST(RolloutPlan, TriesAsLongAsTheTimeLimitAllows)
 {
     const Record trial = record(Phase::Trial);
     EXPECT_EQ(next(trial, Finding::Good, seconds(105)), std::nullopt);
@@ -115,24 +115,24 @@
     EXPECT_EQ(next(trial, Finding::Inconclusive, seconds(110)), Phase::RolledBack);
 }
 
-TEST(RolloutPlan, RollsBackAtOnce)
+TEST(RolloutPlan, RollsBackABadVersionAtOnce)
 {
     EXPECT_EQ(next(record(Phase::Trial), Finding::Bad, seconds(101)), Phase::RolledBack);
     EXPECT_EQ(next(record(Phase::Moving), Finding::Bad, seconds(109)), Phase::RolledBack);
 }
 
-TEST(RolloutPlan, WaitsForWhatRunsAtTheOthers)
+TEST(RolloutPlan, WaitsForOpenRequestsAtOtherVersions)
 {
     Record moving = record(Phase::Moving);
     moving.phaseStartedAt = seconds(108);
-    // No VM may have heard yet.
+    // Too early: the other VMs may not know of the phase yet.
     EXPECT_EQ(next(moving, Finding::Good, seconds(109)), std::nullopt);
     EXPECT_EQ(next(moving, Finding::Good, seconds(110), 3), std::nullopt);
     EXPECT_EQ(next(moving, Finding::Good, seconds(110)), Phase::Succeeded);
     EXPECT_EQ(next(moving, Finding::Good, otherVersionsStopAt(moving), 3), Phase::Succeeded);
 }
 
-TEST(RolloutPlan, NothingFollowsTheEnd)
+TEST(RolloutPlan, TakesNoStepAfterTheFinalPhase)
 {
     for (const Finding finding : {Finding::Inconclusive, Finding::Good, Finding::Bad}) {
         EXPECT_EQ(next(record(Phase::Succeeded), finding, seconds(111)), std::nullopt);
@@ -140,28 +140,29 @@
     }
 }
 
-TEST(RolloutPlan, RemembersWhatIsNotToBeUsed)
+TEST(RolloutPlan, RecordsExcludedVersions)
 {
     const std::vector<std::string> versions{"", "v1", "v2"};
-    const Order ordered = order();
+    const Order newest = order();
     Record moving = record(Phase::Moving);
     PlanInput input;
-    input.order = &ordered;
+    input.order = &newest;
     input.record = &moving;
     input.versions = versions;
     input.storeNow = seconds(111);
     const auto done = nextRecord(input);
     ASSERT_TRUE(done);
     EXPECT_EQ(done->excluded, (std::vector<std::string>{"v0", "v1"}));
-    // Ordered anew, a version is tried anew; one whose trial was cut short by another order is not used.
+    // A new order for an excluded version starts a new trial of it. A version whose trial was ended by another order is
+    // excluded.
     const Record trial = record(Phase::Trial);
-    const Order again = order(30, "v0");
-    input.order = &again;
+    const Order newOrder = order(30, "v0");
+    input.order = &newOrder;
     input.record = &trial;
-    const auto begun = nextRecord(input);
-    ASSERT_TRUE(begun);
-    EXPECT_EQ(begun->phase, Phase::Trial);
-    EXPECT_EQ(begun->excluded, std::vector<std::string>{"v2"});
+    const auto started = nextRecord(input);
+    ASSERT_TRUE(started);
+    EXPECT_EQ(started->phase, Phase::Trial);
+    EXPECT_EQ(started->excluded, std::vector<std::string>{"v2"});
 }
 
 TEST(RolloutPlan, AWithdrawnOrderEndsItsTrial)
@@ -175,7 +176,7 @@
     EXPECT_EQ(ended->phase, Phase::RolledBack);
 }
 
-TEST(RolloutRecord, IsReadAsWritten)
+TEST(RolloutRecord, SurvivesEncodingAndDecoding)
 {
     const Record written = record(Phase::Moving);
     Record read;
@@ -194,22 +195,23 @@
 
 TEST(OrderCache, KeepsTheNewestOrder)
 {
-    const auto book = OrderCache::create();
-    int seen = 0;
-    book->onOrder([&seen](const Order &) { seen++; });
-    book->put(order(20, "v3"));
-    book->put(order(10, "v2"));
-    EXPECT_EQ(book->find("service")->toVersion, "v3");
-    EXPECT_EQ(seen, 1);
-    book->replaceAll({});
-    EXPECT_EQ(book->find("service"), nullptr);
+    const auto cache = OrderCache::create();
+    int notified = 0;
+    cache->onOrder([&notified](const Order &) { notified++; });
+    cache->put(order(20, "v3"));
+    cache->put(order(10, "v2"));
+    EXPECT_EQ(cache->find("service")->toVersion, "v3");
+    EXPECT_EQ(notified, 1);
+    cache->replaceAll({});
+    EXPECT_EQ(cache->find("service"), nullptr);
 }
 
-TEST(TrialSlice, LoadsAServerAsAllRequestsWould)
+TEST(TrialSlice, LoadsAServerAsFullTrafficWould)
 {
     EXPECT_EQ(trialSlice(seconds(3), 112, 0.1).servers, 11U);
     EXPECT_TRUE(trialSlice(seconds(3), 112, 0.1).isOpen);
-    // With four servers a tenth of the requests is saved up, so that one of them gets more than half of its full load.
+    // With four servers, a tenth of the requests is accumulated over two slices, so that one server gets over half its full
+    // load.
     EXPECT_EQ(trialSlice(seconds(4), 4, 0.1).servers, 1U);
     EXPECT_TRUE(trialSlice(seconds(4), 4, 0.1).isOpen);
     EXPECT_FALSE(trialSlice(seconds(5), 4, 0.1).isOpen);
--- a/src/rollout/tests/verdictrules_test.cpp
+++ b/src/rollout/tests/verdictrules_test.cpp
@@ -13,7 +13,7 @@
 constexpr std::uint64_t Route = 1;
 constexpr std::uint64_t OtherRoute = 2;
 
-/// Three servers on trial with @p sends each, of which @p failed fail.
+/// Adds outcomes at three servers on trial: at each, @p sends requests, of which @p failed fail.
 void addTrial(RolloutOutcomes &outcomes, std::uint64_t route, std::uint64_t sends, std::uint64_t failed, Duration took = milliseconds(100))
 {
     for (std::uint64_t server = 1; server <= 3; server++) {
@@ -21,7 +21,7 @@
     }
 }
 
-TEST(RolloutVerdict, FindsAVersionGoodThatIsLikeTheOthers)
+TEST(RolloutVerdict, AVersionLikeTheBaselineIsGood)
 {
     RolloutOutcomes outcomes;
     addSends(outcomes[Route].baseline, 400, 4);
@@ -29,7 +29,7 @@
     EXPECT_EQ(evaluateTrial(outcomes, {}).finding, Finding::Good);
 }
 
-TEST(RolloutVerdict, LaysErrorsOfTheServiceItselfToNoVersion)
+TEST(RolloutVerdict, ErrorsOfTheServiceItselfAreNoFaultOfAVersion)
 {
     RolloutOutcomes outcomes;
     addSends(outcomes[Route].baseline, 400, 60);
@@ -37,19 +37,19 @@
     EXPECT_EQ(evaluateTrial(outcomes, {}).finding, Finding::Good);
 }
 
-TEST(RolloutVerdict, FindsAVersionBadOfWhichAThirdFails)
+TEST(RolloutVerdict, AVersionThatFailsAThirdOfItsRequestsIsBad)
 {
     RolloutOutcomes outcomes;
     addSends(outcomes[Route].baseline, 400, 4);
     addTrial(outcomes, Route, 12, 4);
     const Verdict verdict = evaluateTrial(outcomes, {});
     EXPECT_EQ(verdict.finding, Finding::Bad);
-    // The worst of the three is left out.
+    // The worst of the three servers is left out.
     EXPECT_EQ(verdict.trialSends, 24U);
     EXPECT_EQ(verdict.trialBad, 8U);
 }
 
-TEST(RolloutVerdict, FindsAVersionBadThatIsSeveralTimesSlower)
+TEST(RolloutVerdict, AVersionThatIsSeveralTimesSlowerIsBad)
 {
     RolloutOutcomes outcomes;
     addSends(outcomes[Route].baseline, 400, 4);
@@ -57,7 +57,7 @@
     EXPECT_EQ(evaluateTrial(outcomes, {}).finding, Finding::Bad);
 }
 
-TEST(RolloutVerdict, TakesColdCachesForNoFault)
+TEST(RolloutVerdict, ColdCachesAreTolerated)
 {
     RolloutOutcomes outcomes;
     addSends(outcomes[Route].baseline, 400, 4);
@@ -65,7 +65,7 @@
     EXPECT_EQ(evaluateTrial(outcomes, {}).finding, Finding::Good);
 }
 
-TEST(RolloutVerdict, FindsAVersionBadOnOneRouteAlone)
+TEST(RolloutVerdict, AVersionThatIsBadOnOneRouteIsBad)
 {
     RolloutOutcomes outcomes;
     addSends(outcomes[Route].baseline, 4000, 40);
@@ -77,7 +77,7 @@
     EXPECT_EQ(verdict.route, OtherRoute);
 }
 
-TEST(RolloutVerdict, IsUnsureOfARouteThatWasNotTried)
+TEST(RolloutVerdict, IsInconclusiveIfARouteWasNotTried)
 {
     RolloutOutcomes outcomes;
     addSends(outcomes[Route].baseline, 400, 4);
@@ -86,7 +86,7 @@
     EXPECT_EQ(evaluateTrial(outcomes, {}).finding, Finding::Inconclusive);
 }
 
-TEST(RolloutVerdict, TakesOneBadServerForNoBadVersion)
+TEST(RolloutVerdict, OneBadServerDoesNotMakeABadVersion)
 {
     RolloutOutcomes outcomes;
     addSends(outcomes[Route].baseline, 400, 4);
@@ -95,23 +95,23 @@
     EXPECT_NE(evaluateTrial(outcomes, {}).finding, Finding::Bad);
 }
 
-TEST(RolloutVerdict, FindsNoVersionGoodThatJustTurnedBad)
+TEST(RolloutVerdict, AVersionThatJustTurnedBadIsNotGood)
 {
     RolloutOutcomes outcomes;
     addSends(outcomes[Route].baseline, 4000, 40);
     addTrial(outcomes, Route, 100, 0);
     ASSERT_EQ(evaluateTrial(outcomes, {}).finding, Finding::Good);
-    RolloutOutcomes last;
-    addSends(last[Route].baseline, 400, 4);
-    addSends(last[Route].trial[1], 6, 3);
-    add(outcomes, last);
-    EXPECT_EQ(evaluateTrial(outcomes, std::array{last}).finding, Finding::Inconclusive);
-    addTrial(last, Route, 8, 4);
-    add(outcomes, last);
-    EXPECT_EQ(evaluateTrial(outcomes, std::array{last}).finding, Finding::Bad);
+    RolloutOutcomes recent;
+    addSends(recent[Route].baseline, 400, 4);
+    addSends(recent[Route].trial[1], 6, 3);
+    add(outcomes, recent);
+    EXPECT_EQ(evaluateTrial(outcomes, std::array{recent}).finding, Finding::Inconclusive);
+    addTrial(recent, Route, 8, 4);
+    add(outcomes, recent);
+    EXPECT_EQ(evaluateTrial(outcomes, std::array{recent}).finding, Finding::Bad);
 }
 
-TEST(RolloutVerdict, IsUnsureWithoutEvidence)
+TEST(RolloutVerdict, IsInconclusiveWithoutOutcomes)
 {
     EXPECT_EQ(evaluateTrial({}, {}).finding, Finding::Inconclusive);
     RolloutOutcomes outcomes;
@@ -119,7 +119,7 @@
     EXPECT_EQ(evaluateTrial(outcomes, {}).finding, Finding::Inconclusive);
 }
 
-TEST(RolloutOutcomesTest, SurvivesTheWayToAnotherVm)
+TEST(RolloutOutcomes, SurviveTheTransferToAnotherVm)
 {
     RolloutOutcomes outcomes;
     addOutcome(outcomes, {Route, std::nullopt, milliseconds(3)});
@@ -131,20 +131,20 @@
     EXPECT_EQ(read.at(Route).trial.at(7).answered, outcomes.at(Route).trial.at(7).answered);
 }
 
-TEST(RolloutOutcomesTest, CountsNothingTwiceAndNothingBelowZero)
+TEST(RolloutOutcomes, IncreasesAreNotCountedTwiceAndNotNegative)
 {
-    RolloutOutcomes before;
-    addSends(before[Route].baseline, 10, 2);
-    addSends(before[Route].trial[1], 4, 1);
-    RolloutOutcomes now = before;
+    RolloutOutcomes earlier;
+    addSends(earlier[Route].baseline, 10, 2);
+    addSends(earlier[Route].trial[1], 4, 1);
+    RolloutOutcomes now = earlier;
     addSends(now[Route].baseline, 5, 1);
-    EXPECT_EQ(since(now, before).at(Route).baseline.total(), 5U);
-    EXPECT_EQ(since(now, before).at(Route).trial.at(1).total(), 0U);
-    // A VM was restarted, and its part is missing.
-    EXPECT_EQ(since(before, now).at(Route).baseline.total(), 0U);
+    EXPECT_EQ(since(now, earlier).at(Route).baseline.total(), 5U);
+    EXPECT_EQ(since(now, earlier).at(Route).trial.at(1).total(), 0U);
+    // Counts decrease if a VM was restarted and its counts are missing.
+    EXPECT_EQ(since(earlier, now).at(Route).baseline.total(), 0U);
 }
 
-TEST(RolloutOutcomesTest, SortsTimesIntoClassesThatGrow)
+TEST(RolloutOutcomes, TimesFallIntoGrowingBuckets)
 {
     EXPECT_EQ(latencyBucket(Duration(0)), 0U);
     EXPECT_EQ(latencyBucket(milliseconds(4)), 0U);
