--- a/src/rollout/internal/rolloutagent.cpp
+++ b/src/rollout/internal/rolloutagent.cpp
@@ -146,7 +146,7 @@
     if (!confirmedAt || tools_.loop->now() - *confirmedAt > MaxRecordsAge) {
         return "stale";
     }
-    if (!tools_.hearsController()) {
+    if (!tools_.hasLiveController()) {
         return "no_judge";
     }
     if (state.looksBad) {
--- a/src/rollout/rolloutagent.h
+++ b/src/rollout/rolloutagent.h
@@ -37,12 +37,12 @@
     /// The time up to which all changes of records are known to this VM; empty before the first reading.
     std::function<std::optional<TimePoint>()> recordsConfirmedAt;
     /// Whether this VM, or one that was heard from recently, holds the leader lease and so controls rollouts.
-    std::function<bool()> hearsController;
+    std::function<bool()> hasLiveController;
 };
 
 /// Carries out rollouts on this VM: limits which requests a version gets, counts the outcomes of this VM's requests, and
 /// receives the counts of other VMs. A version on trial gets no requests while the known records are out of date or no VM
-/// that controls rollouts is heard.
+/// that controls rollouts was heard from recently.
 class RolloutAgent : public forwarding::VersionGate
 {
 public:
@@ -78,7 +78,7 @@
     bool isRecordLost(std::string_view service) const;
     /// Outcomes of the requests of all VMs since the service's newest order.
     RolloutOutcomes outcomes(const std::string &service) const;
-    /// Open requests, at servers of other versions, of this VM and of the VMs that were heard recently.
+    /// Open requests, at servers of other versions, of this VM and of the VMs that were heard from recently.
     std::uint64_t openAtOtherVersions(const std::string &service) const;
     bool isAnyInProgress() const;
     std::vector<std::string> servicesWithRecord() const;
@@ -109,7 +109,8 @@
     VersionState versionState(const directory::BackendServer &server);
     /// Whether all orders from before the server was listed have been read.
     bool isVersionKnown(ServiceState &state, const directory::BackendServer &server) const;
-    /// Why this VM may not send requests to the version on trial now; empty if it may.
+    /// Why this VM may not send requests to the version on trial now, as logged; empty if it may. "no_judge": there is no live
+    /// controller.
     std::string_view pauseReason(const ServiceState &state) const;
     bool mayRunTrial(const std::string &service, ServiceState &state);
     /// Usable servers on trial that are not cold.
--- a/src/rollout/rolloutmodule.cpp
+++ b/src/rollout/rolloutmodule.cpp
@@ -22,7 +22,7 @@
 /// Maximum age of records relayed by other VMs; with older ones, the VM asks the store itself. Twice IdleWait, and the delay
 /// of a relaying VM.
 constexpr Duration MaxRelayedAge = std::chrono::seconds(15);
-/// A VM that controls rollouts counts as lost if it was not heard for this long. With many VMs, for two of their status
+/// A VM that controls rollouts counts as lost if it was not heard from for this long. With many VMs, for two of their status
 /// periods, which are longer.
 constexpr Duration ControllerHeardWithin = std::chrono::milliseconds(1500);
 
@@ -96,7 +96,7 @@
         tools.recordsConfirmedAt = [this] {
             return watch_ ? watch_->confirmedAt() : std::nullopt;
         };
-        tools.hearsController = [presence = presence_, &context] {
+        tools.hasLiveController = [presence = presence_, &context] {
             const auto lease = context.find<duties::LeaderLease>();
             const auto heard = presence->recentlyHeard(std::max(ControllerHeardWithin, presence->period() * 2));
             return (lease && lease->isHeld()) || std::any_of(heard.begin(), heard.end(), [](const presence::Peer *peer) { return peer->status->holdsLease; });
--- a/src/rollout/tests/rolloutagent_test.cpp
+++ b/src/rollout/tests/rolloutagent_test.cpp
@@ -17,7 +17,7 @@
 constexpr char Route[] = "route";
 constexpr rows::StoreVersion OrderRow{1, 100};
 
-/// The agent of one VM. The test controls the store's clock, the age of the records and whether a controller is heard.
+/// The agent of one VM. The test controls the store's clock, the age of the records and whether there is a live controller.
 class RolloutAgentTest : public testing::Test
 {
 protected:
@@ -50,8 +50,8 @@
         tools.recordsConfirmedAt = [this] {
             return std::optional(confirmedAt_);
         };
-        tools.hearsController = [this] {
-            return hearsController_;
+        tools.hasLiveController = [this] {
+            return hasLiveController_;
         };
         confirmedAt_ = loop_->now();
         agent_ = RolloutAgent::create(std::move(tools));
@@ -132,7 +132,7 @@
     std::shared_ptr<RolloutAgent> agent_;
     Duration storeNow_ = seconds(1002);
     TimePoint confirmedAt_;
-    bool hearsController_ = true;
+    bool hasLiveController_ = true;
     std::uint64_t rowVersion_ = 200;
     std::string lines_;
 };
@@ -194,9 +194,9 @@
     EXPECT_EQ(picked(200), 0);
     confirmedAt_ = loop_->now();
     EXPECT_GT(picked(200), 0);
-    hearsController_ = false;
+    hasLiveController_ = false;
     EXPECT_EQ(picked(200), 0);
-    hearsController_ = true;
+    hasLiveController_ = true;
     storeNow_ = seconds(1012);
     EXPECT_EQ(picked(200), 0);
     EXPECT_NE(lines_.find("\"no_judge\""), std::string::npos);
--- a/src/rollout/tests/rolloutcontroller_test.cpp
+++ b/src/rollout/tests/rolloutcontroller_test.cpp
@@ -64,7 +64,7 @@
         agentTools.recordsConfirmedAt = [loop = loop_.get()] {
             return std::optional(loop->now());
         };
-        agentTools.hearsController = [] {
+        agentTools.hasLiveController = [] {
             return true;
         };
         result.agent = RolloutAgent::create(std::move(agentTools));
