--- a/src/outliers/internal/outlierdetector.cpp
+++ b/src/outliers/internal/outlierdetector.cpp
@@ -11,14 +11,15 @@
 using eventlog::Attribute;
 using eventlog::Event;
 
-/// Servers in one status: a datagram has room for the worst ones, and a domain's servers are fewer.
-constexpr std::size_t MostTold = 32;
-/// What was seen longer ago than this decides nothing any more.
-constexpr Duration Memory = std::chrono::seconds(20);
-/// A VM is in doubt about itself when this part of the servers that it used lately gave no answer, of at least so many.
-constexpr double OwnFaultPart = 0.5;
-constexpr int OwnFaultServers = 3;
-constexpr Duration LatelyUsed = std::chrono::seconds(3);
+/// Most servers in one status, those with the most failures: a datagram has room for no more, and a failure domain has fewer servers.
+constexpr std::size_t MaxSharedServers = 32;
+/// Older outcomes no longer affect any decision.
+constexpr Duration Retention = std::chrono::seconds(20);
+/// A VM assumes that the fault is its own when more than this fraction of the servers that it used recently gave no answer, if
+/// these are at least LocalFaultMinServers.
+constexpr double LocalFaultFraction = 0.5;
+constexpr int LocalFaultMinServers = 3;
+constexpr Duration RecentUse = std::chrono::seconds(3);
 
 bool isRecent(const std::optional<TimePoint> &at, Duration age, TimePoint now)
 {
@@ -47,129 +48,130 @@
     outliers::note(services_[service], ending, loop_.now());
 }
 
-std::optional<OutcomeCounts> OutlierDetector::known(std::uint64_t server) const
+std::optional<OutcomeCounts> OutlierDetector::combinedOutcomes(std::uint64_t server) const
 {
     const auto own = servers_.find(server);
-    const auto others = told_.find(server);
-    if (own == servers_.end() && others == told_.end()) {
+    const auto others = peerOutcomes_.find(server);
+    if (own == servers_.end() && others == peerOutcomes_.end()) {
         return std::nullopt;
     }
-    const OutcomeCounts mine = own == servers_.end() ? OutcomeCounts() : own->second.outcomes;
-    if (others == told_.end()) {
-        return mine;
+    const OutcomeCounts ownOutcomes = own == servers_.end() ? OutcomeCounts() : own->second.outcomes;
+    if (others == peerOutcomes_.end()) {
+        return ownOutcomes;
     }
-    std::vector<OutcomeCounts> theirs;
-    theirs.reserve(others->second.size());
+    std::vector<OutcomeCounts> peers;
+    peers.reserve(others->second.size());
     for (const auto &[vm, outcomes] : others->second) {
-        theirs.push_back(outcomes);
+        peers.push_back(outcomes);
     }
-    return together(mine, theirs, loop_.now());
+    return combine(ownOutcomes, peers, loop_.now());
 }
 
 bool OutlierDetector::isOutlier(std::uint64_t server, const std::string &service) const
 {
-    const auto outcomes = known(server);
+    const auto outcomes = combinedOutcomes(server);
     if (!outcomes) {
         return false;
     }
     const TimePoint now = loop_.now();
-    const auto usual = services_.find(service);
-    return outliers::isOutlier(*outcomes, usual == services_.end() ? 0 : usualFailures(asOf(usual->second, now)), now);
+    const auto serviceOutcomes = services_.find(service);
+    return outliers::isOutlier(*outcomes, serviceOutcomes == services_.end() ? 0 : baselineFailureRate(decayedTo(serviceOutcomes->second, now)), now);
 }
 
-std::vector<presence::ServerOutcomes> OutlierDetector::told() const
+std::vector<presence::ServerOutcomes> OutlierDetector::outcomesToShare() const
 {
     const TimePoint now = loop_.now();
-    std::vector<presence::ServerOutcomes> told;
+    std::vector<presence::ServerOutcomes> shared;
     int used = 0;
     int silent = 0;
     for (const auto &[server, entry] : servers_) {
-        const bool isSilent = entry.outcomes.failedInARow > 0 && isRecent(entry.outcomes.lastFailedAt, LatelyUsed, now);
-        used += isSilent || isRecent(entry.outcomes.lastAnsweredAt, LatelyUsed, now) ? 1 : 0;
+        const bool isSilent = entry.outcomes.consecutiveFailures > 0 && isRecent(entry.outcomes.lastFailedAt, RecentUse, now);
+        used += isSilent || isRecent(entry.outcomes.lastAnsweredAt, RecentUse, now) ? 1 : 0;
         silent += isSilent ? 1 : 0;
-        // Answers count as much as failures: without them a server would look worse than it is to the VMs that hear of it.
-        const bool isDoubted = told_.contains(server);
-        if (!isDoubted && !isWorthTelling(entry.outcomes, now)) {
+        // A server reported by a peer is shared even without failures here: without the answers that this VM has had, it would
+        // look worse than it is to the other VMs.
+        const bool isReportedByPeer = peerOutcomes_.contains(server);
+        if (!isReportedByPeer && !isWorthSharing(entry.outcomes, now)) {
             continue;
         }
-        const OutcomeCounts current = asOf(entry.outcomes, now);
-        told.push_back({server,
+        const OutcomeCounts current = decayedTo(entry.outcomes, now);
+        shared.push_back({server,
             current.answered,
             current.failed,
-            current.failedInARow,
-            current.failedInARow > 0 ? now - current.lastFailedAt.value_or(now) : Duration(0),
+            current.consecutiveFailures,
+            current.consecutiveFailures > 0 ? now - current.lastFailedAt.value_or(now) : Duration(0),
             current.lastAnsweredAt ? std::optional(now - *current.lastAnsweredAt) : std::nullopt});
     }
-    if (used >= OwnFaultServers && silent > OwnFaultPart * used) {
+    if (used >= LocalFaultMinServers && silent > LocalFaultFraction * used) {
         return {};
     }
-    std::sort(told.begin(), told.end(), [](const auto &a, const auto &b) { return a.failed > b.failed; });
-    told.resize(std::min(told.size(), MostTold));
-    return told;
+    std::sort(shared.begin(), shared.end(), [](const auto &a, const auto &b) { return a.failed > b.failed; });
+    shared.resize(std::min(shared.size(), MaxSharedServers));
+    return shared;
 }
 
-void OutlierDetector::takeTold(const std::string &vm, std::span<const presence::ServerOutcomes> servers)
+void OutlierDetector::applyPeerOutcomes(const std::string &vm, std::span<const presence::ServerOutcomes> servers)
 {
     const TimePoint now = loop_.now();
-    dropTold(vm);
+    dropPeerOutcomes(vm);
     for (const presence::ServerOutcomes &server : servers) {
         OutcomeCounts outcomes;
         outcomes.answered = server.answered;
         outcomes.failed = server.failed;
         outcomes.updatedAt = now;
-        outcomes.failedInARow = server.failedInARow;
+        outcomes.consecutiveFailures = server.failedInARow;
         if (server.failedInARow > 0) {
             outcomes.lastFailedAt = now - server.sinceFailure;
         }
         if (server.sinceAnswer) {
             outcomes.lastAnsweredAt = now - *server.sinceAnswer;
         }
-        told_[server.server][vm] = outcomes;
-        toldBy_[vm].push_back(server.server);
+        peerOutcomes_[server.server][vm] = outcomes;
+        serversByPeer_[vm].push_back(server.server);
     }
 }
 
-void OutlierDetector::dropTold(const std::string &vm)
+void OutlierDetector::dropPeerOutcomes(const std::string &vm)
 {
-    const auto last = toldBy_.find(vm);
-    if (last == toldBy_.end()) {
+    const auto servers = serversByPeer_.find(vm);
+    if (servers == serversByPeer_.end()) {
         return;
     }
-    for (const std::uint64_t server : last->second) {
-        const auto place = told_.find(server);
-        place->second.erase(vm);
-        if (place->second.empty()) {
-            told_.erase(place);
+    for (const std::uint64_t server : servers->second) {
+        const auto found = peerOutcomes_.find(server);
+        found->second.erase(vm);
+        if (found->second.empty()) {
+            peerOutcomes_.erase(found);
         }
     }
-    toldBy_.erase(last);
+    serversByPeer_.erase(servers);
 }
 
-void OutlierDetector::logChange(std::uint64_t server, const Entry &entry, bool isNow)
+void OutlierDetector::logChange(std::uint64_t server, const Entry &entry, bool isOutlierNow)
 {
-    const OutcomeCounts all = known(server).value_or(OutcomeCounts());
+    const OutcomeCounts all = combinedOutcomes(server).value_or(OutcomeCounts());
     const auto age = all.lastFailedAt ? std::chrono::duration_cast<std::chrono::milliseconds>(loop_.now() - *all.lastFailedAt).count() : -1;
-    log_->write(isNow ? Event::ServerAvoided : Event::ServerTrusted,
+    log_->write(isOutlierNow ? Event::ServerAvoided : Event::ServerTrusted,
         {{Attribute::Server, entry.instance},
             {Attribute::Service, entry.service},
             {Attribute::Answered, static_cast<std::int64_t>(all.answered)},
             {Attribute::Failed, static_cast<std::int64_t>(all.failed)},
-            {Attribute::InARow, std::int64_t(all.failedInARow)},
+            {Attribute::InARow, std::int64_t(all.consecutiveFailures)},
             {Attribute::AgeMs, std::int64_t(age)}});
 }
 
 void OutlierDetector::tick()
 {
     const TimePoint now = loop_.now();
-    for (auto place = servers_.begin(); place != servers_.end();) {
-        Entry &entry = place->second;
-        const bool isNow = isOutlier(place->first, entry.service);
-        if (isNow != entry.wasOutlier) {
-            entry.wasOutlier = isNow;
-            logChange(place->first, entry, isNow);
+    for (auto it = servers_.begin(); it != servers_.end();) {
+        Entry &entry = it->second;
+        const bool isOutlierNow = isOutlier(it->first, entry.service);
+        if (isOutlierNow != entry.wasOutlier) {
+            entry.wasOutlier = isOutlierNow;
+            logChange(it->first, entry, isOutlierNow);
         }
-        const bool isOld = !isNow && !isRecent(entry.outcomes.lastFailedAt, Memory, now) && !isRecent(entry.outcomes.lastAnsweredAt, Memory, now);
-        place = isOld ? servers_.erase(place) : std::next(place);
+        const bool isOld = !isOutlierNow && !isRecent(entry.outcomes.lastFailedAt, Retention, now) && !isRecent(entry.outcomes.lastAnsweredAt, Retention, now);
+        it = isOld ? servers_.erase(it) : std::next(it);
     }
 }
 
--- a/src/outliers/outlierdetector.h
+++ b/src/outliers/outlierdetector.h
@@ -15,7 +15,7 @@
 
 namespace cardamomlift::outliers {
 
-/// Judges backend servers by what real requests came to, here and at the other entry VMs.
+/// Passive outlier detection: finds backend servers that fail, from the outcomes of real requests at all entry VMs.
 class OutlierDetector
 {
 public:
@@ -24,12 +24,12 @@
     void note(const std::string &instance, const std::string &service, Ending ending);
     /// @p server: presence::nameHash() of the instance.
     bool isOutlier(std::uint64_t server, const std::string &service) const;
-    /// What the other VMs should hear: the servers with most failures. Nothing while most of the servers that this VM used
-    /// lately gave no answer, since then the fault is likely its own.
-    std::vector<presence::ServerOutcomes> told() const;
-    /// Another VM's view; it replaces what that VM said before.
-    void takeTold(const std::string &vm, std::span<const presence::ServerOutcomes> servers);
-    /// Logs the servers whose standing has changed, and forgets what is too old to matter.
+    /// Returns the outcomes of the servers with the most failures, for this VM's next status. Returns nothing while most of the
+    /// servers that this VM used recently gave no answer, since the fault is then probably its own.
+    std::vector<presence::ServerOutcomes> outcomesToShare() const;
+    /// Applies the outcomes in another VM's status; they replace those of its previous one.
+    void applyPeerOutcomes(const std::string &vm, std::span<const presence::ServerOutcomes> servers);
+    /// Logs the servers that became outliers or ceased to be, and removes outcomes that are too old to matter.
     void tick();
 
 private:
@@ -38,19 +38,20 @@
         std::string instance;
         std::string service;
         OutcomeCounts outcomes;
-        bool wasOutlier = false; ///< As logged last.
+        bool wasOutlier = false; ///< What was last logged.
     };
-    /// Empty if nobody has seen anything.
-    std::optional<OutcomeCounts> known(std::uint64_t server) const;
-    void dropTold(const std::string &vm);
-    void logChange(std::uint64_t server, const Entry &entry, bool isNow);
+    /// The outcomes at all VMs; empty if none are known.
+    std::optional<OutcomeCounts> combinedOutcomes(std::uint64_t server) const;
+    void dropPeerOutcomes(const std::string &vm);
+    void logChange(std::uint64_t server, const Entry &entry, bool isOutlierNow);
     EventLoop &loop_;
     std::shared_ptr<eventlog::EventLog> log_;
-    std::unordered_map<std::uint64_t, Entry> servers_; ///< By the hash of the instance: what this VM has seen.
-    std::map<std::string, OutcomeCounts> services_; ///< All its servers together.
-    /// What other VMs said, by the hash of the instance, by VM. Mostly empty: servers without failures are not told.
-    std::unordered_map<std::uint64_t, std::map<std::string, OutcomeCounts>> told_;
-    std::map<std::string, std::vector<std::uint64_t>> toldBy_; ///< By VM: the servers of its last word.
+    std::unordered_map<std::uint64_t, Entry> servers_; ///< This VM's outcomes, keyed by the hash of the instance.
+    std::map<std::string, OutcomeCounts> services_; ///< This VM's outcomes of all servers of a service, keyed by service.
+    /// Outcomes reported by other VMs, keyed by the hash of the instance, then by VM. Mostly empty, as servers without failures
+    /// are not reported.
+    std::unordered_map<std::uint64_t, std::map<std::string, OutcomeCounts>> peerOutcomes_;
+    std::map<std::string, std::vector<std::uint64_t>> serversByPeer_; ///< The servers in the last status of each VM.
 };
 
 } // namespace cardamomlift::outliers
--- a/src/outliers/outlierrules.h
+++ b/src/outliers/outlierrules.h
@@ -6,20 +6,20 @@
 
 namespace cardamomlift::outliers {
 
-/// Counts one request's end.
+/// Adds the outcome of one request.
 void note(OutcomeCounts &outcomes, Ending ending, TimePoint now);
-/// The decayed counts brought up to @p now.
-OutcomeCounts asOf(OutcomeCounts outcomes, TimePoint now);
-/// What this VM and @p others have seen together. Failures in a row at other VMs count only if no VM has had an answer
-/// since: a server that answers anyone is not down. This VM's own always count, since the fault may be for some VMs only.
-OutcomeCounts together(const OutcomeCounts &own, std::span<const OutcomeCounts> others, TimePoint now);
-/// The part of requests that usually fails at servers like this one: with few outcomes, near nothing.
-double usualFailures(const OutcomeCounts &service);
-/// Whether new requests should go elsewhere while they can. Either the server gave no sign of life several times in a
-/// row, for a time that grows with them; or it fails clearly more often than @p usual. All of it fades, so that a server
-/// gets a request again now and then, and one good answer ends the first kind.
-bool isOutlier(const OutcomeCounts &outcomes, double usual, TimePoint now);
-/// Whether there is anything that other VMs should hear.
-bool isWorthTelling(const OutcomeCounts &outcomes, TimePoint now);
+/// Returns the counts decayed up to @p now.
+OutcomeCounts decayedTo(OutcomeCounts outcomes, TimePoint now);
+/// Adds up the outcomes of this VM and @p others. Consecutive failures at other VMs count only if no VM has had an answer since:
+/// a server that answers any VM is not down. This VM's own always count, since the fault may affect some VMs only.
+OutcomeCounts combine(const OutcomeCounts &own, std::span<const OutcomeCounts> others, TimePoint now);
+/// Returns the failure rate that is usual for a service; close to zero while it has few outcomes.
+double baselineFailureRate(const OutcomeCounts &service);
+/// Decides whether new requests should prefer other servers: either the server did not answer several consecutive requests, for
+/// a time that grows with their number, or its failure rate is clearly above @p baseline. Both expire, so that the server gets a
+/// request from time to time, and a single answer ends the first.
+bool isOutlier(const OutcomeCounts &outcomes, double baseline, TimePoint now);
+/// Returns whether the outcomes include failures that other VMs should know of.
+bool isWorthSharing(const OutcomeCounts &outcomes, TimePoint now);
 
 } // namespace cardamomlift::outliers
--- a/src/outliers/outliersmodule.cpp
+++ b/src/outliers/outliersmodule.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-/// How often changed standings are looked for, to log them.
+/// How often servers that became outliers or ceased to be are logged.
 constexpr Duration TickPeriod = std::chrono::milliseconds(500);
 
 class OutliersModule : public Module
@@ -33,10 +33,10 @@
         EventLoop *loop = context.get<Runtime>()->loop;
         const auto presence = context.get<presence::Presence>();
         const auto detector = OutlierDetector::create(*loop, context.get<eventlog::EventLog>());
-        presence->addStatusContributor([detector](presence::Status &status) { status.outcomes = detector->told(); });
+        presence->addStatusContributor([detector](presence::Status &status) { status.outcomes = detector->outcomesToShare(); });
         presence->onStatus([detector](const presence::Status &status, std::optional<TimePoint>) {
             if (!status.isPartial) {
-                detector->takeTold(status.instance, status.outcomes);
+                detector->applyPeerOutcomes(status.instance, status.outcomes);
             }
         });
         loop->every(TickPeriod, [detector] { detector->tick(); });
--- a/src/outliers/tests/outlierdetector_test.cpp
+++ b/src/outliers/tests/outlierdetector_test.cpp
@@ -14,27 +14,27 @@
 
 constexpr milliseconds Step(10);
 constexpr double StepSeconds = 0.01;
-/// How long a request to a silent server waits before it counts as unanswered.
-constexpr milliseconds SilenceLimit(600);
+/// The time after which a request to a silent server counts as unanswered.
+constexpr milliseconds AnswerTimeout(600);
 const std::string Service = "service";
 
-/// What a server does with the requests of a VM.
+/// How a server fails requests.
 struct Fault {
-    double errors = 0; ///< This part gets a server error.
-    bool isSilent = false;
-    double breaks = 0; ///< This part of the answers is broken off. Not a fault that calls for avoiding by itself.
-    std::size_t firstVm = 0; ///< VMs below this one are served well.
+    double errors = 0; ///< The fraction of requests that get a server error.
+    bool isSilent = false; ///< It answers no request.
+    double brokenAnswers = 0; ///< The fraction of answers that break off. By itself, this is no reason to avoid the server.
+    std::size_t firstAffectedVm = 0; ///< VMs with a lower index are not affected.
 };
 
 struct Size {
     std::size_t vms = 8;
     std::size_t servers = 12;
-    double requestsPerSecond = 100; ///< Over all VMs.
-    milliseconds toldEvery{350};
+    double requestsPerSecond = 100; ///< At all VMs together.
+    milliseconds shareInterval{350};
 };
 
-/// VMs that send requests to servers, choose at random among those that are no outliers, and tell each other what they
-/// saw. Time is the test's.
+/// VMs that send requests to servers chosen at random among those that are not outliers, and share their outcomes, on a simulated
+/// clock.
 class Fleet
 {
 public:
@@ -65,25 +65,25 @@
     void resetCounts()
     {
         sent_ = 0;
-        toFaulty_ = 0;
-        soundJudged_ = 0;
-        soundAvoided_ = 0;
+        sentToFaulty_ = 0;
+        healthyDecisions_ = 0;
+        healthyAvoided_ = 0;
     }
 
-    double partToFaulty() const
+    double faultyShare() const
     {
-        return static_cast<double>(toFaulty_) / std::max(1.0, static_cast<double>(sent_));
+        return static_cast<double>(sentToFaulty_) / std::max(1.0, static_cast<double>(sent_));
     }
 
-    /// Of all judgements of sound servers: how many called them outliers.
-    double falseAlarms() const
+    /// Returns the fraction of decisions on healthy servers that took them for outliers.
+    double falsePositiveRate() const
     {
-        return static_cast<double>(soundAvoided_) / std::max(1.0, static_cast<double>(soundJudged_));
+        return static_cast<double>(healthyAvoided_) / std::max(1.0, static_cast<double>(healthyDecisions_));
     }
 
-    int toFaulty() const
+    int sentToFaulty() const
     {
-        return toFaulty_;
+        return sentToFaulty_;
     }
 
     OutlierDetector &detector(std::size_t vm)
@@ -106,7 +106,7 @@
     bool isFaultyFor(std::size_t server, std::size_t vm) const
     {
         const Fault &fault = faults_[server];
-        return (fault.isSilent || fault.errors > baseErrors_) && vm >= fault.firstVm;
+        return (fault.isSilent || fault.errors > baseErrors_) && vm >= fault.firstAffectedVm;
     }
 
     void step()
@@ -121,14 +121,14 @@
                 ++waiting;
             }
         }
-        credit_ += size_.requestsPerSecond * StepSeconds;
-        for (; credit_ >= 1; credit_--) {
+        dueRequests_ += size_.requestsPerSecond * StepSeconds;
+        for (; dueRequests_ >= 1; dueRequests_--) {
             send(std::uniform_int_distribution<std::size_t>(0, size_.vms - 1)(random_));
         }
-        sinceTold_ += Step;
-        if (sinceTold_ >= size_.toldEvery) {
-            sinceTold_ = milliseconds(0);
-            tellAll();
+        sinceShared_ += Step;
+        if (sinceShared_ >= size_.shareInterval) {
+            sinceShared_ = milliseconds(0);
+            shareAll();
         }
     }
 
@@ -138,8 +138,8 @@
         for (std::size_t i = 0; i < size_.servers; i++) {
             const bool isOutlier = detectors_[vm]->isOutlier(presence::nameHash(nameOf(i)), Service);
             if (!isFaultyFor(i, vm)) {
-                soundJudged_++;
-                soundAvoided_ += isOutlier ? 1 : 0;
+                healthyDecisions_++;
+                healthyAvoided_ += isOutlier ? 1 : 0;
             }
             if (!isOutlier) {
                 usable.push_back(i);
@@ -147,28 +147,28 @@
         }
         const std::size_t server = usable.empty() ? 0 : usable[std::uniform_int_distribution<std::size_t>(0, usable.size() - 1)(random_)];
         sent_++;
-        toFaulty_ += isFaultyFor(server, vm) ? 1 : 0;
+        sentToFaulty_ += isFaultyFor(server, vm) ? 1 : 0;
         const Fault &fault = faults_[server];
-        const bool isStruck = vm >= fault.firstVm;
-        if (fault.isSilent && isStruck) {
-            waiting_.push_back({clock_.now() + SilenceLimit, vm, server});
+        const bool isAffected = vm >= fault.firstAffectedVm;
+        if (fault.isSilent && isAffected) {
+            waiting_.push_back({clock_.now() + AnswerTimeout, vm, server});
             return;
         }
-        if (std::bernoulli_distribution(fault.breaks)(random_)) {
+        if (std::bernoulli_distribution(fault.brokenAnswers)(random_)) {
             detectors_[vm]->note(nameOf(server), Service, Ending::NoAnswer);
             return;
         }
-        const bool fails = isStruck && std::bernoulli_distribution(fault.errors)(random_);
+        const bool fails = isAffected && std::bernoulli_distribution(fault.errors)(random_);
         detectors_[vm]->note(nameOf(server), Service, fails ? Ending::ServerError : Ending::Answered);
     }
 
-    void tellAll()
+    void shareAll()
     {
         for (std::size_t from = 0; from < size_.vms; from++) {
-            const auto told = detectors_[from]->told();
+            const auto shared = detectors_[from]->outcomesToShare();
             for (std::size_t to = 0; to < size_.vms; to++) {
                 if (to != from) {
-                    detectors_[to]->takeTold("vm" + std::to_string(from), told);
+                    detectors_[to]->applyPeerOutcomes("vm" + std::to_string(from), shared);
                 }
             }
         }
@@ -182,13 +182,13 @@
     std::shared_ptr<eventlog::EventLog> log_;
     std::vector<std::shared_ptr<OutlierDetector>> detectors_;
     std::vector<Waiting> waiting_;
-    double credit_ = 0;
+    double dueRequests_ = 0;
     double baseErrors_ = 0.15;
-    milliseconds sinceTold_{0};
+    milliseconds sinceShared_{0};
     int sent_ = 0;
-    int toFaulty_ = 0;
-    int soundJudged_ = 0;
-    int soundAvoided_ = 0;
+    int sentToFaulty_ = 0;
+    int healthyDecisions_ = 0;
+    int healthyAvoided_ = 0;
 };
 
 constexpr Size Small;
@@ -199,20 +199,20 @@
 {
 };
 
-TEST_P(OutlierSeeds, AServerThatSwallowsRequestsIsLeftAloneAfterAFew)
+TEST_P(OutlierSeeds, AServerThatDoesNotAnswerIsAvoidedAfterAFewRequests)
 {
     Fleet fleet(Small, GetParam());
     fleet.run(3);
     fleet.faults()[4].isSilent = true;
     fleet.resetCounts();
     fleet.run(FaultSeconds);
-    RecordProperty("swallowed", fleet.toFaulty());
-    // An even part would be 50.
-    EXPECT_LT(fleet.toFaulty(), 25);
-    EXPECT_LT(fleet.falseAlarms(), 0.01);
+    RecordProperty("swallowed", fleet.sentToFaulty());
+    // An even share would be 50.
+    EXPECT_LT(fleet.sentToFaulty(), 25);
+    EXPECT_LT(fleet.falsePositiveRate(), 0.01);
 }
 
-TEST_P(OutlierSeeds, OnManyVmsThatSendSeldomToEachServerToo)
+TEST_P(OutlierSeeds, AServerThatDoesNotAnswerIsAvoidedByManyVmsThatSendSeldom)
 {
     Fleet fleet(Large, GetParam());
     fleet.run(3);
@@ -221,13 +221,13 @@
     }
     fleet.resetCounts();
     fleet.run(FaultSeconds);
-    RecordProperty("swallowed", fleet.toFaulty());
-    // An even part would be 360.
-    EXPECT_LT(fleet.toFaulty(), 180);
-    EXPECT_LT(fleet.falseAlarms(), 0.02);
+    RecordProperty("swallowed", fleet.sentToFaulty());
+    // An even share would be 360.
+    EXPECT_LT(fleet.sentToFaulty(), 180);
+    EXPECT_LT(fleet.falsePositiveRate(), 0.02);
 }
 
-TEST_P(OutlierSeeds, AServerThatFailsHalfOfItsRequestsGetsFew)
+TEST_P(OutlierSeeds, AServerThatFailsHalfOfItsRequestsGetsFewOfThem)
 {
     Fleet fleet(Small, GetParam());
     for (Fault &fault : fleet.faults()) {
@@ -238,9 +238,9 @@
     fleet.run(2);
     fleet.resetCounts();
     fleet.run(FaultSeconds);
-    // An even part would be 0.083.
-    EXPECT_LT(fleet.partToFaulty(), 0.06);
-    EXPECT_LT(fleet.falseAlarms(), 0.03);
+    // An even share would be 0.083.
+    EXPECT_LT(fleet.faultyShare(), 0.06);
+    EXPECT_LT(fleet.falsePositiveRate(), 0.03);
 }
 
 TEST_P(OutlierSeeds, WhenAllServersFailAlikeNoneIsAnOutlierForLong)
@@ -252,19 +252,19 @@
     fleet.run(3);
     fleet.resetCounts();
     fleet.run(FaultSeconds);
-    EXPECT_LT(fleet.falseAlarms(), 0.03);
+    EXPECT_LT(fleet.falsePositiveRate(), 0.03);
 }
 
-TEST_P(OutlierSeeds, BrokenAnswersHereAndThereAreNoRowOfFailures)
+TEST_P(OutlierSeeds, OccasionalBrokenAnswersAreNotConsecutiveFailures)
 {
     Fleet fleet(Large, GetParam());
     for (Fault &fault : fleet.faults()) {
-        fault.breaks = 0.05;
+        fault.brokenAnswers = 0.05;
     }
     fleet.run(3);
     fleet.resetCounts();
     fleet.run(FaultSeconds);
-    EXPECT_LT(fleet.falseAlarms(), 0.03);
+    EXPECT_LT(fleet.falsePositiveRate(), 0.03);
 }
 
 TEST_P(OutlierSeeds, AServerThatIsSilentForSomeVmsOnlyServesTheOthers)
@@ -272,25 +272,25 @@
     Fleet fleet(Small, GetParam());
     fleet.run(3);
     fleet.faults()[2].isSilent = true;
-    fleet.faults()[2].firstVm = 6;
+    fleet.faults()[2].firstAffectedVm = 6;
     fleet.resetCounts();
     fleet.run(FaultSeconds);
-    EXPECT_LT(fleet.falseAlarms(), 0.08) << "the VMs that it serves hear of failures, and see answers";
+    EXPECT_LT(fleet.falsePositiveRate(), 0.08) << "the other VMs know of the failures, but get answers";
 }
 
 INSTANTIATE_TEST_SUITE_P(Seeds, OutlierSeeds, testing::Range(1U, 9U));
 
-TEST(OutlierDetector, AVmThatReachesNobodyBlamesNobodyElse)
+TEST(OutlierDetector, AVmThatReachesNoServerReportsNone)
 {
     Fleet fleet(Small, 1);
     fleet.run(2);
-    OutlierDetector &cut = fleet.detector(0);
+    OutlierDetector &isolated = fleet.detector(0);
     for (int round = 0; round < 2; round++) {
         for (int server = 0; server < 12; server++) {
-            cut.note("server" + std::to_string(server), Service, Ending::NoAnswer);
+            isolated.note("server" + std::to_string(server), Service, Ending::NoAnswer);
         }
     }
-    EXPECT_TRUE(cut.told().empty());
+    EXPECT_TRUE(isolated.outcomesToShare().empty());
 }
 
 } // namespace
--- a/src/outliers/tests/outlierrules_test.cpp
+++ b/src/outliers/tests/outlierrules_test.cpp
@@ -32,7 +32,7 @@
     EXPECT_TRUE(isOutlier(outcomes, 0, Start));
 }
 
-TEST(OutlierRules, ATrialComesLaterWithEachFailureInARowUpToABound)
+TEST(OutlierRules, ATrialIsDelayedByEachConsecutiveFailureUpToABound)
 {
     OutcomeCounts outcomes;
     for (int i = 0; i < 2; i++) {
@@ -47,7 +47,7 @@
     EXPECT_FALSE(isOutlier(outcomes, 1, Start + milliseconds(5100)));
 }
 
-TEST(OutlierRules, AnAnswerEndsARowOfFailures)
+TEST(OutlierRules, AnAnswerEndsConsecutiveFailures)
 {
     OutcomeCounts outcomes;
     note(outcomes, Ending::NoAnswer, Start);
@@ -56,55 +56,55 @@
     EXPECT_FALSE(isOutlier(outcomes, 0, Start));
 }
 
-TEST(OutlierRules, AServerThatFailsHalfOfItsRequestsStandsOutOnlyWhereOthersDoNot)
+TEST(OutlierRules, AServerThatFailsHalfOfItsRequestsIsAnOutlierOnlyWhereOthersDoNot)
 {
     const OutcomeCounts half = outcomesOf(6, 6);
     EXPECT_TRUE(isOutlier(half, 0.05, Start));
     EXPECT_FALSE(isOutlier(half, 0.45, Start));
 }
 
-TEST(OutlierRules, AFailureOrTwoAmongManyAnswersAreNone)
+TEST(OutlierRules, OneOrTwoFailuresAmongManyAnswersMakeNoOutlier)
 {
     EXPECT_FALSE(isOutlier(outcomesOf(30, 1), 0, Start));
     EXPECT_FALSE(isOutlier(outcomesOf(30, 2), 0, Start));
     EXPECT_TRUE(isOutlier(outcomesOf(10, 6), 0, Start));
 }
 
-TEST(OutlierRules, FailuresFadeSoThatAServerIsTriedAgain)
+TEST(OutlierRules, FailuresDecaySoThatAServerIsTriedAgain)
 {
     const OutcomeCounts half = outcomesOf(6, 6);
     EXPECT_FALSE(isOutlier(half, 0.05, Start + seconds(8)));
 }
 
-TEST(OutlierRules, WhatOthersSawCountsUntilAnyVmHasHadAnAnswerSince)
+TEST(OutlierRules, FailuresAtOtherVmsCountUntilAnyVmGetsAnAnswer)
 {
     OutcomeCounts other;
     note(other, Ending::NoAnswer, Start);
     note(other, Ending::NoAnswer, Start);
     const OutcomeCounts nothing;
-    EXPECT_TRUE(isOutlier(together(nothing, {&other, 1}, Start), 0, Start));
+    EXPECT_TRUE(isOutlier(combine(nothing, {&other, 1}, Start), 0, Start));
     OutcomeCounts answered;
     note(answered, Ending::Answered, Start + milliseconds(10));
     const TimePoint later = Start + milliseconds(20);
-    EXPECT_FALSE(isOutlier(together(answered, {&other, 1}, later), 0, later));
+    EXPECT_FALSE(isOutlier(combine(answered, {&other, 1}, later), 0, later));
     const OutcomeCounts others[] = {other, answered};
-    EXPECT_FALSE(isOutlier(together(nothing, others, later), 0, later));
+    EXPECT_FALSE(isOutlier(combine(nothing, others, later), 0, later));
 }
 
-TEST(OutlierRules, OwnFailuresInARowCountWhateverOthersSaw)
+TEST(OutlierRules, OwnConsecutiveFailuresCountWhateverOthersReport)
 {
     OutcomeCounts own;
     note(own, Ending::NoAnswer, Start);
     note(own, Ending::NoAnswer, Start);
     OutcomeCounts answered;
     note(answered, Ending::Answered, Start + milliseconds(10));
-    EXPECT_TRUE(isOutlier(together(own, {&answered, 1}, Start + milliseconds(20)), 0, Start + milliseconds(20)));
+    EXPECT_TRUE(isOutlier(combine(own, {&answered, 1}, Start + milliseconds(20)), 0, Start + milliseconds(20)));
 }
 
-TEST(OutlierRules, AFewFailuresOfAServiceAreNotYetUsual)
+TEST(OutlierRules, AFewFailuresOfAServiceDoNotRaiseItsBaseline)
 {
-    EXPECT_LT(usualFailures(outcomesOf(0, 2)), 0.2);
-    EXPECT_GT(usualFailures(outcomesOf(50, 50)), 0.4);
+    EXPECT_LT(baselineFailureRate(outcomesOf(0, 2)), 0.2);
+    EXPECT_GT(baselineFailureRate(outcomesOf(50, 50)), 0.4);
 }
 
 } // namespace
