--- a/src/allowance/internal/allowancelimiter.cpp
+++ b/src/allowance/internal/allowancelimiter.cpp
@@ -102,7 +102,8 @@
     const TimePoint now = loop_.now();
     for (const presence::CustomerDemand &demand : status.demands) {
         const bool isGroup = !status.summaryOf.empty();
-        recordPeerUsage(bucketByHash(demand.customer), status.instance, {status.incarnation, demand.admittedTotal, demand.perSecond, now, status.uptime, isGroup});
+        recordPeerUsage(
+            bucketByHash(demand.customer), status.instance, {status.incarnation, demand.admittedTotal, demand.perSecond, now, status.uptime, isGroup});
     }
 }
 
--- a/src/allowance/internal/allowancerules.cpp
+++ b/src/allowance/internal/allowancerules.cpp
@@ -88,7 +88,7 @@
 
 /// Decides whether a request is admitted while the bucket runs low. With few VMs, each has many requests a second and uses up its
 /// share of the refill; refused callers find room when the debt has been refilled. With many VMs, each has one request in many
-/// seconds and shares are of no use, so each VM admits the same fraction of its requests. On days with a customer at several
+/// seconds and a share would mean nothing, so each VM admits the same fraction of its requests. On days with a customer at several
 /// times its usual demand, few VMs with the second rule served 0.02 and 0.06 less of the requests to be served (five seeds each
 /// of two deployments); many VMs with the first rule admit up to 0.15 more than the limit.
 bool takeWhileLow(BucketEstimate &bucket, const manifest::Allowance &allowance, double amount, TimePoint now)
@@ -113,10 +113,10 @@
 /// Decides whether a request is admitted by a process that has not heard from the others yet.
 bool fitsInitialShares(const BucketEstimate &bucket, const manifest::Allowance &allowance, double amount)
 {
-    const double evenPart = InitialFraction * allowance.burst / static_cast<double>(std::max<std::size_t>(1, bucket.vmCount));
-    const double left = std::max(0.0, InitialShares * evenPart - bucket.taken);
+    const double evenShare = InitialFraction * allowance.burst / static_cast<double>(std::max<std::size_t>(1, bucket.vmCount));
+    const double remaining = std::max(0.0, InitialShares * evenShare - bucket.taken);
     // NOTE The credit is not changed: it is evenly distributed over the VMs, and has to be when the bucket runs low.
-    return left > 0 && left / std::max(1.0, amount) >= 1 - bucket.admissionCredit;
+    return remaining > 0 && remaining / std::max(1.0, amount) >= 1 - bucket.admissionCredit;
 }
 
 } // namespace
--- a/src/outliers/internal/outlierdetector.cpp
+++ b/src/outliers/internal/outlierdetector.cpp
@@ -11,7 +11,8 @@
 using eventlog::Attribute;
 using eventlog::Event;
 
-/// Most servers in one status, those with the most failures: a datagram has room for no more, and a failure domain has fewer servers.
+/// Maximum number of servers in one status, those with the most failures. A datagram has room for them, and a failure domain has
+/// fewer servers than this.
 constexpr std::size_t MaxSharedServers = 32;
 /// Older outcomes no longer affect any decision.
 constexpr Duration Retention = std::chrono::seconds(20);
