--- a/src/duties/dutytypes.h
+++ b/src/duties/dutytypes.h
@@ -10,13 +10,13 @@
 
 namespace cardamomlift::duties {
 
-/// The usage of one window, as it was or will be reported. Never changed once it stands in the lease's row.
+/// The usage of one time window, as it was or will be reported. Never changed once it is stored in the lease row.
 struct UsageReport {
     std::int64_t window = 0;
-    std::map<std::string, std::uint64_t> counts; ///< Requests by customer's name.
+    std::map<std::string, std::uint64_t> counts; ///< Number of requests, by customer name.
 };
 
-/// How many servers of one kind a service shall have in a failure domain.
+/// The number of servers of one kind that a service should have in a failure domain.
 struct ServerOrder {
     std::string service;
     std::string zone;
@@ -24,16 +24,16 @@
     int wanted = 0;
 };
 
-/// What became of a call to the platform.
+/// The outcome of a call that the leader made to the platform.
 enum class LeaderCallOutcome {
     Done,
-    Refused, ///< Nothing of the kind is to be had there now.
-    Failed, ///< Over the rate, away, or no answer: it may have been done.
+    Refused, ///< No servers of this kind are available in the failure domain now.
+    Failed, ///< Rate limit, platform unavailable, or no response: the call may have taken effect.
 };
 
 using LeaderCallHandler = std::function<void(LeaderCallOutcome outcome)>;
 
-/// Calls that one VM at a time makes to the platform. @p fence rises with each holder.
+/// Calls to the platform that only the leader makes. @p fence is a fencing token, which rises with each holder of the lease.
 class LeaderApi
 {
 public:
@@ -42,21 +42,21 @@
     virtual void orderServers(std::uint64_t fence, const ServerOrder &order, LeaderCallHandler handler) = 0;
 };
 
-/// The lease on all duties, as it lies in the platform's store.
+/// The leader lease as stored in the platform's store.
 struct LeaseRow {
     std::string holder; ///< Instance of the VM.
-    std::uint64_t incarnation = 0; ///< Of its process.
-    std::uint64_t fence = 0; ///< Rises with each holder.
-    std::uint64_t era = 0; ///< Of the store when it was written: in a later one the row is that of an older copy.
-    bool lacksReports = false; ///< It goes back to an older copy: reports that were made since may be missing.
-    bool isReleased = false; ///< The holder has ended in order; it makes no more calls.
+    std::uint64_t incarnation = 0; ///< Of the holder's process.
+    std::uint64_t fence = 0; ///< Fencing token; rises with each holder.
+    std::uint64_t era = 0; ///< Of the store when the row was written. If the store is in a later era, the row is from a restored copy.
+    bool lacksReports = false; ///< The row was taken over from a restored copy: reports made after the copy may be missing.
+    bool isReleased = false; ///< The holder shut down cleanly and makes no more calls.
     std::int64_t reportedWindow = 0; ///< Windows up to this one were reported or are in reports.
-    std::int64_t arrivedWindow = 0; ///< Windows up to this one are known to have arrived.
-    std::vector<UsageReport> reports; ///< The newest, oldest first; one that may not have arrived is sent again as it is.
+    std::int64_t arrivedWindow = 0; ///< Windows up to this one are known to have reached the platform.
+    std::vector<UsageReport> reports; ///< The latest, oldest first. One that may not have arrived is sent again unchanged.
 };
 
 std::string encodeLease(const LeaseRow &row);
-/// Fails on what is no lease: the fence must never fall back.
+/// Fails if @p text lacks a valid holder, incarnation or fence: the fence must never decrease.
 bool decodeLease(std::string_view text, LeaseRow &row);
 
 } // namespace cardamomlift::duties
--- a/src/duties/internal/leaderlease.cpp
+++ b/src/duties/internal/leaderlease.cpp
@@ -12,21 +12,21 @@
 constexpr char Table[] = "duties";
 constexpr char Key[] = "lease";
 constexpr Duration TickPeriod = std::chrono::milliseconds(250);
-/// The holder stops to act this long before its lease runs out: a call is on its way for some milliseconds.
-constexpr Duration ActMargin = std::chrono::milliseconds(300);
-/// Who takes over waits this much longer than the lease.
-constexpr Duration TakeMargin = std::chrono::milliseconds(300);
-/// VMs that were heard within this count as running when it is decided whose turn it is, and a holder is left alone. With
-/// many VMs it is two of their periods: some statuses may be lost.
+/// The holder stops acting this long before its lease expires: a call takes some milliseconds to arrive.
+constexpr Duration ExpiryMargin = std::chrono::milliseconds(300);
+/// A VM that takes the lease over waits this much longer than its length.
+constexpr Duration TakeoverMargin = std::chrono::milliseconds(300);
+/// VMs that were heard within this time count as running when a candidate for the lease is chosen, and a holder that was heard within it is
+/// not challenged. With many VMs the time is two of their status periods, as some statuses may be lost.
 constexpr Duration HeardWithin = std::chrono::milliseconds(1500);
-/// A process that starts hears within this of the VMs that run for longer, and leaves the lease to them. When 90 VMs started
-/// together and each took itself for the first, they made 250 calls for it.
-constexpr Duration HearFirst = std::chrono::milliseconds(800);
-/// Fences of one era of the store are below those of the next, so that holders whom an older copy does not know of keep theirs
-/// for themselves.
+/// A process that starts first listens this long for VMs that have run longer, and leaves the lease to them. When 90 VMs
+/// started together and each took itself for the first, they made 250 calls to the store for it.
+constexpr Duration ListenAtStart = std::chrono::milliseconds(800);
+/// Fences of one era of the store are below those of the next, so that a fence of a holder that the restored copy does not
+/// know of is never given out again.
 constexpr std::uint64_t FencesPerEra = 1'000'000;
-/// The lease is renewed when this part of it has passed: one lost write leaves time for a second.
-constexpr int RenewPart = 2;
+/// The lease is renewed when its length divided by this has passed, so that there is time for another write if one is lost.
+constexpr int RenewDivisor = 2;
 
 std::optional<rows::Row> findRow(std::span<const rows::Row> rows)
 {
@@ -38,7 +38,7 @@
 
 LeaderLease::LeaderLease(LeaseTools tools)
     : tools_(std::move(tools))
-    , restoredBy_(tools_.loop->now())
+    , restoredBefore_(tools_.loop->now())
 {
 }
 
@@ -49,13 +49,13 @@
     raw->timer_ = raw->tools_.loop->every(TickPeriod, [raw] { raw->tick(); });
     raw->tools_.presence->contribute([weak = std::weak_ptr<LeaderLease>(lease)](presence::Status &status) {
         const auto self = weak.lock();
-        status.holdsLease = self && self->holds_ && !self->ended_;
+        status.holdsLease = self && self->holds_ && !self->isShuttingDown_;
         status.lacksStore = self && self->lacksStore_;
     });
     raw->tools_.store->eras().onRestored([weak = std::weak_ptr<LeaderLease>(lease)] {
         if (const auto self = weak.lock()) {
             self->sawRestore_ = true;
-            self->restoredBy_ = self->tools_.loop->now();
+            self->restoredBefore_ = self->tools_.loop->now();
         }
     });
     return lease;
@@ -68,7 +68,7 @@
 
 bool LeaderLease::isHeld() const
 {
-    return holds_ && !ended_ && tools_.loop->now() < heldUntil_;
+    return holds_ && !isShuttingDown_ && tools_.loop->now() < heldUntil_;
 }
 
 std::uint64_t LeaderLease::fence() const
@@ -81,15 +81,15 @@
     return row_;
 }
 
-// The one that runs longest of those that reach the store, so that they do not all try at once: it has heard what the VMs
-// that ended since have counted, which a process that has just begun has not.
-bool LeaderLease::isMyTurn() const
+// Among the VMs that reach the store, the one that has run longest is preferred, so that they do not all try at once. It has
+// received the usage counts of VMs that ended meanwhile, which a process that has just started has not.
+bool LeaderLease::isPreferredCandidate() const
 {
     const auto heard = tools_.presence->heardLately(std::max(HeardWithin, tools_.presence->period() * 2));
     return std::none_of(heard.begin(), heard.end(), [this](const presence::Peer *peer) {
         const presence::Status &status = *peer->status;
-        const bool runs = !status.isDraining && !status.lacksStore;
-        return status.holdsLease || (runs && tools_.presence->upFor(*peer) > tools_.presence->upFor());
+        const bool isCandidate = !status.isDraining && !status.lacksStore;
+        return status.holdsLease || (isCandidate && tools_.presence->upFor(*peer) > tools_.presence->upFor());
     });
 }
 
@@ -99,30 +99,30 @@
     if (writing_) {
         return;
     }
-    if (ended_) {
+    if (isShuttingDown_) {
         tryRelease();
         return;
     }
-    if (holds_ && now >= heldUntil_ + ActMargin) {
+    if (holds_ && now >= heldUntil_ + ExpiryMargin) {
         lose("expired");
         return;
     }
-    if (holds_ && isBeforeRestore()) {
+    if (holds_ && isOfEarlierEra()) {
         readRow();
         return;
     }
     if (holds_) {
-        if (now - renewedAt_ >= tools_.length / RenewPart) {
+        if (now - renewedAt_ >= tools_.length / RenewDivisor) {
             renew();
         }
         return;
     }
-    const bool mayBeOthers = tools_.presence->vmCount() != std::optional<std::size_t>(1);
-    if (mayBeOthers && tools_.presence->upFor() < HearFirst) {
+    const bool mayHavePeers = tools_.presence->vmCount() != std::optional<std::size_t>(1);
+    if (mayHavePeers && tools_.presence->upFor() < ListenAtStart) {
         return;
     }
-    if (!isMyTurn()) {
-        seenAt_.reset();
+    if (!isPreferredCandidate()) {
+        unchangedSince_.reset();
         return;
     }
     observe();
@@ -135,8 +135,8 @@
 
 void LeaderLease::observe()
 {
-    // Once seen, the row need not be read again until the lease must have run out.
-    if (seenAt_ && tools_.loop->now() - *seenAt_ < tools_.length + TakeMargin) {
+    // Once seen, the row need not be read again until the lease would have expired.
+    if (unchangedSince_ && tools_.loop->now() - *unchangedSince_ < tools_.length + TakeoverMargin) {
         return;
     }
     readRow();
@@ -159,24 +159,24 @@
 void LeaderLease::onRow(const rows::ReadResult &result)
 {
     lacksStore_ = result.failure != rows::StoreFailure::None;
-    if (lacksStore_ || writing_ || ended_) {
+    if (lacksStore_ || writing_ || isShuttingDown_) {
         return;
     }
     if (holds_) {
-        rewriteOver(result.page);
+        rewriteAfterRestore(result.page);
     } else {
-        takeRow(result);
+        considerTakeover(result);
     }
 }
 
-// The row as this VM knows it is of an earlier era than the store.
-bool LeaderLease::isBeforeRestore() const
+bool LeaderLease::isOfEarlierEra() const
 {
     return version_.era < tools_.store->eras().current();
 }
 
-// While this VM holds the lease nobody else can have taken it: who does has waited for longer than the lease, in this era too.
-void LeaderLease::rewriteOver(const rows::RowPage &page)
+// While this VM holds the lease nobody else can have taken it: a VM that takes it over has waited longer than the lease, also
+// in the new era.
+void LeaderLease::rewriteAfterRestore(const rows::RowPage &page)
 {
     if (!isHeld()) {
         return;
@@ -184,41 +184,42 @@
     const auto found = findRow(page.rows);
     LeaseRow current;
     if (found && !decodeLease(found->value, current)) {
-        lose("its row can't be read");
+        lose("the lease row can't be decoded");
         return;
     }
     if (found && current.era == page.version.era && current.incarnation != row_.incarnation) {
-        lose("taken by another");
+        lose("taken by another VM");
         return;
     }
     tools_.log->write(Event::LeaseTaken, {{Attribute::Fence, static_cast<std::int64_t>(row_.fence)}, {Attribute::Reason, "kept_over_restore"}});
     write(row_, found ? found->version : rows::StoreVersion{page.version.era, 0}, [](bool) {});
 }
 
-void LeaderLease::takeRow(const rows::ReadResult &result)
+void LeaderLease::considerTakeover(const rows::ReadResult &result)
 {
     const std::uint64_t era = result.page.version.era;
     const auto found = findRow(result.page.rows);
     const rows::StoreVersion version = found ? found->version : rows::StoreVersion{era, 0};
     LeaseRow before;
     if (found && !decodeLease(found->value, before)) {
-        tools_.log->write(Event::LeaseLost, {{Attribute::Reason, "its row can't be read"}});
+        tools_.log->write(Event::LeaseLost, {{Attribute::Reason, "the lease row can't be decoded"}});
         return;
     }
-    // NOTE Measured from when the question was sent, for the wait of the next holder to cover the whole lease of the last.
-    const bool wasUnchanged = seenAt_ && version_ == version && result.sentAt - *seenAt_ >= tools_.length + TakeMargin;
-    // What an older copy of the store says of the holder, or that there is none, may have changed before it was restored.
+    // NOTE Measured up to the time at which the read was sent, so that the wait covers the whole lease of the last holder.
+    const bool wasUnchanged = unchangedSince_ && version_ == version && result.sentAt - *unchangedSince_ >= tools_.length + TakeoverMargin;
+    // A row that was restored from an older copy of the store, or its absence, proves nothing: it may have changed between the
+    // copy and the restore.
     const bool isOfThisEra = found ? before.era == era : !sawRestore_;
-    // An earlier process of this VM is over, and acts no more.
+    // An earlier process of this VM has ended and can no longer act.
     const bool wasOurs = before.holder == tools_.presence->instance();
     const bool isFree = isOfThisEra && (!found || before.isReleased || wasOurs);
     if (isFree || wasUnchanged) {
         before.lacksReports = before.lacksReports || !isOfThisEra;
-        tryTake(before, version);
+        takeOver(before, version);
         return;
     }
-    if (!seenAt_ || version_ != version) {
-        seenAt_ = tools_.loop->now();
+    if (!unchangedSince_ || version_ != version) {
+        unchangedSince_ = tools_.loop->now();
         version_ = version;
     }
 }
@@ -229,11 +230,11 @@
     return std::max({before.fence, row_.fence, firstOfEra}) + 1;
 }
 
-void LeaderLease::tryTake(const LeaseRow &before, rows::StoreVersion expectedVersion)
+void LeaderLease::takeOver(const LeaseRow &before, rows::StoreVersion expectedVersion)
 {
     LeaseRow row = before;
     if (row_.reportedWindow > row.reportedWindow) {
-        // This process held the lease in the time that the copy lacks.
+        // This process held the lease after the copy was made.
         row.reportedWindow = row_.reportedWindow;
         row.reports = row_.reports;
     }
@@ -242,13 +243,13 @@
     row.incarnation = tools_.presence->incarnation();
     row.fence = nextFence(before);
     row.isReleased = false;
-    seenAt_.reset();
+    unchangedSince_.reset();
     write(std::move(row), expectedVersion, [](bool) {});
 }
 
 void LeaderLease::update(LeaseRow row, std::function<void(bool written)> done)
 {
-    if (!isHeld() || writing_ || isBeforeRestore()) {
+    if (!isHeld() || writing_ || isOfEarlierEra()) {
         done(false);
         return;
     }
@@ -287,12 +288,13 @@
         row_.arrivedWindow = arrived;
         version_ = result.version;
         renewedAt_ = sentAt;
-        heldUntil_ = sentAt + tools_.length - ActMargin;
+        heldUntil_ = sentAt + tools_.length - ExpiryMargin;
         done(true);
         return;
     }
-    if (result.outcome == rows::WriteOutcome::Conflict && !isBeforeRestore()) {
-        // A write of ours whose answer was lost shows here as ours; any other means that the lease is another's.
+    if (result.outcome == rows::WriteOutcome::Conflict && !isOfEarlierEra()) {
+        // The conflict may come from an own write whose response was lost; a row of any other process means that the lease was
+        // taken over.
         const auto found = findRow(result.current);
         LeaseRow current;
         const bool isOurs = holds_ && found && decodeLease(found->value, current) && current.incarnation == row_.incarnation && current.fence == row_.fence;
@@ -301,15 +303,15 @@
             version_ = found->version;
             renewedAt_ = TimePoint();
         } else if (holds_) {
-            lose("taken by another");
+            lose("taken by another VM");
         }
     }
     done(false);
 }
 
-TimePoint LeaderLease::restoredBy() const
+TimePoint LeaderLease::restoredBefore() const
 {
-    return restoredBy_;
+    return restoredBefore_;
 }
 
 void LeaderLease::noteArrived(std::int64_t window)
@@ -320,22 +322,22 @@
 void LeaderLease::lose(std::string_view reason)
 {
     holds_ = false;
-    seenAt_.reset();
+    unchangedSince_.reset();
     tools_.log->write(Event::LeaseLost, {{Attribute::Fence, static_cast<std::int64_t>(row_.fence)}, {Attribute::Reason, reason}});
 }
 
 void LeaderLease::release()
 {
-    ended_ = true;
+    isShuttingDown_ = true;
     if (!writing_) {
         tryRelease();
     }
 }
 
-// Tried until it stands: while the row names this VM, the others must wait until the lease has run out.
+// Retried until it is written: while the row names this VM, the others must wait until the lease expires.
 void LeaderLease::tryRelease()
 {
-    if (!holds_ || isBeforeRestore()) {
+    if (!holds_ || isOfEarlierEra()) {
         return;
     }
     LeaseRow row = row_;
--- a/src/duties/internal/usagereporter.cpp
+++ b/src/duties/internal/usagereporter.cpp
@@ -10,9 +10,9 @@
 using eventlog::Event;
 
 constexpr Duration TickPeriod = std::chrono::milliseconds(500);
-/// After the end of a window, for the last counts of all VMs to come: several statuses of the slowest fleet.
+/// Wait after the end of a window for the last counts of all VMs to arrive: several status periods, also with the longest period.
 constexpr Duration SettleTime = std::chrono::milliseconds(3000);
-/// Reports kept in the row: what a holder may have left unsent when it fell silent.
+/// Reports kept in the lease row: as many as a leader may leave unsent when it fails.
 constexpr std::size_t ReportsKept = 3;
 
 } // namespace
@@ -74,7 +74,7 @@
             return;
         }
         self->busy_ = false;
-        // NOTE Only after a write: a lease that is busy refuses at once, and would be asked again from here without end.
+        // NOTE Only after a successful write: a lease with a write in progress refuses at once, which would recurse without end.
         if (written) {
             self->tick();
         }
@@ -82,17 +82,17 @@
     return true;
 }
 
-// Windows that were due before the store was restored may have been reported by a holder whom the copy does not know of; a
-// second report of one might differ.
+// Windows that were due before the store was restored may have been reported by a leader that the restored copy does not
+// know of. They are skipped, as a second report of the same window might differ.
 std::int64_t UsageReporter::nextWindow(const LeaseRow &row, std::int64_t current, WallTime now) const
 {
     const std::int64_t next = row.reportedWindow == 0 ? current - 1 : row.reportedWindow + 1;
     if (!row.lacksReports) {
         return next;
     }
-    const WallTime restoredBy = now - (tools_.loop->now() - tools_.lease->restoredBy());
+    const WallTime restoredBefore = now - (tools_.loop->now() - tools_.lease->restoredBefore());
     std::int64_t window = next;
-    while (window < current && tools_.usage->endOf(window) + SettleTime <= restoredBy) {
+    while (window < current && tools_.usage->endOf(window) + SettleTime <= restoredBefore) {
         window++;
     }
     return window;
--- a/src/duties/leaderlease.h
+++ b/src/duties/leaderlease.h
@@ -11,7 +11,7 @@
 
 namespace cardamomlift::duties {
 
-/// What the lease works with.
+/// Dependencies and settings of the lease.
 struct LeaseTools {
     EventLoop *loop = nullptr;
     std::shared_ptr<rows::RowStore> store;
@@ -20,28 +20,30 @@
     Duration length = std::chrono::seconds(3);
 };
 
-/// The one lease on all duties. It is a row that the holder writes anew before the lease runs out. Another VM takes it
-/// only after it has seen the same version of the row for longer than the lease, by its own clock; so no clocks are compared.
-/// After the store was restored from an older copy the row may name a holder of before; then nobody takes the lease sooner,
-/// and a VM that holds it writes the row anew.
+/// The lease that makes one VM the leader: the one that orders servers, reports usage and decides rollouts. It is a row in
+/// the platform's store that the holder renews before the lease expires. Another VM takes it over only after it has seen the
+/// same version of the row for longer than the lease, by its own clock, so clocks of different VMs are never compared.
+/// After the store was restored from an older copy, the row may name an earlier holder. Nobody may shorten the wait then,
+/// and a VM that holds the lease writes its row again.
 class LeaderLease : public std::enable_shared_from_this<LeaderLease>
 {
 public:
     static std::shared_ptr<LeaderLease> start(LeaseTools tools);
     ~LeaderLease();
 
-    /// True if this VM may call the platform now. Asked right before each call, not once for several.
+    /// True if this VM may act as the leader now. To be checked right before each call to the platform, not once for several.
     bool isHeld() const;
+    /// The fencing token of the calls that this VM makes as the leader.
     std::uint64_t fence() const;
-    /// The row as this VM has written it last; only while it holds the lease.
+    /// The row as this VM last wrote it. Valid only while it holds the lease.
     const LeaseRow &row() const;
-    /// Writes a changed row; it keeps the holder and the fence. @p done tells whether it stands in the store.
+    /// Writes a changed row with the same holder and fence. @p done is told whether the store has it.
     void update(LeaseRow row, std::function<void(bool written)> done);
-    /// The platform has all reports up to @p window; stands in the row from the next renewal on.
+    /// Records that the platform has all reports up to @p window. Written with the next renewal of the row.
     void noteArrived(std::int64_t window);
-    /// The store was restored last before this: when this VM noticed it, or else when its process began.
-    TimePoint restoredBy() const;
-    /// Gives the lease up at the end of the process.
+    /// An upper bound on the time of the store's last restore: when this VM noticed it, or else when its process started.
+    TimePoint restoredBefore() const;
+    /// Gives the lease up when the process shuts down.
     void release();
 
 private:
@@ -51,29 +53,30 @@
     void observe();
     void readRow();
     void onRow(const rows::ReadResult &result);
-    void takeRow(const rows::ReadResult &result);
-    void rewriteOver(const rows::RowPage &page);
-    bool isBeforeRestore() const;
+    void considerTakeover(const rows::ReadResult &result);
+    void rewriteAfterRestore(const rows::RowPage &page);
+    /// The row as this VM knows it is of an earlier era than the store.
+    bool isOfEarlierEra() const;
     std::uint64_t nextFence(const LeaseRow &before) const;
     void tryRelease();
-    void tryTake(const LeaseRow &before, rows::StoreVersion expectedVersion);
+    void takeOver(const LeaseRow &before, rows::StoreVersion expectedVersion);
     void write(LeaseRow row, rows::StoreVersion expectedVersion, std::function<void(bool written)> done);
     void onWritten(const LeaseRow &row, TimePoint sentAt, const rows::WriteResult &result, const std::function<void(bool written)> &done);
     void lose(std::string_view reason);
-    bool isMyTurn() const;
+    bool isPreferredCandidate() const;
     LeaseTools tools_;
     bool holds_ = false;
     bool writing_ = false;
     bool reading_ = false;
-    bool lacksStore_ = false; ///< The last call for the lease failed.
-    bool ended_ = false; ///< Released; never taken again by this process.
+    bool lacksStore_ = false; ///< The last call to the store for the lease failed.
+    bool isShuttingDown_ = false; ///< Set by release(); this process never takes the lease again.
     LeaseRow row_;
-    rows::StoreVersion version_; ///< Of the row as it was written or seen last.
-    bool sawRestore_ = false; ///< The store was restored since this process began.
-    TimePoint restoredBy_; ///< When that was noticed last; else when the process began.
+    rows::StoreVersion version_; ///< Of the row as last written or seen.
+    bool sawRestore_ = false; ///< The store was restored since this process started.
+    TimePoint restoredBefore_; ///< When a restore was last noticed, or else when the process started.
     TimePoint heldUntil_;
     TimePoint renewedAt_;
-    std::optional<TimePoint> seenAt_; ///< Since when another's row has had version_.
+    std::optional<TimePoint> unchangedSince_; ///< Since when another VM's row has had version_.
     TimerId timer_ = 0;
 };
 
--- a/src/duties/usagereporter.h
+++ b/src/duties/usagereporter.h
@@ -8,7 +8,7 @@
 
 namespace cardamomlift::duties {
 
-/// What the reporter works with.
+/// Dependencies of the reporter.
 struct ReporterTools {
     EventLoop *loop = nullptr;
     std::shared_ptr<LeaderLease> lease;
@@ -19,8 +19,8 @@
     std::shared_ptr<eventlog::EventLog> log;
 };
 
-/// Reports the usage of each window once. A report is written into the lease's row before it is sent; whoever holds the
-/// lease later sends that one, never another of the same window.
+/// Reports the usage of each window to the platform while this VM is the leader. A report is stored in the lease row before
+/// it is sent. A later leader repeats the stored report, and never makes another one for the same window.
 class UsageReporter : public std::enable_shared_from_this<UsageReporter>
 {
 public:
