--- a/src/rows/eratracker.h
+++ b/src/rows/eratracker.h
@@ -6,21 +6,21 @@
 
 namespace cardamomlift::rows {
 
-/// The era of the platform's store, by the answers that this process has got. It rises by one each time the store is restored
-/// from an older copy.
+/// Tracks the era of the platform's store from the responses that this process has received. The era rises by one each time
+/// the store is restored from an older copy.
 class EraTracker
 {
 public:
-    /// Takes the era that an answer names.
+    /// Records the era that a response names.
     void note(std::uint64_t era);
-    /// The latest; 0 before an answer has named one.
+    /// The latest era; 0 before a response has named one.
     std::uint64_t current() const;
-    /// @p handler is called when the store turns out to have been restored since an earlier answer.
+    /// Calls @p handler when a response shows that the store was restored since an earlier one.
     void onRestored(std::function<void()> handler);
 
 private:
     std::uint64_t current_ = 0;
-    bool isNamed_ = false;
+    bool isKnown_ = false;
     std::vector<std::function<void()>> handlers_;
 };
 
--- a/src/rows/internal/eratracker.cpp
+++ b/src/rows/internal/eratracker.cpp
@@ -6,12 +6,12 @@
 
 void EraTracker::note(std::uint64_t era)
 {
-    const bool wasNamed = std::exchange(isNamed_, true);
+    const bool wasKnown = std::exchange(isKnown_, true);
     if (era <= current_) {
         return;
     }
     current_ = era;
-    if (!wasNamed) {
+    if (!wasKnown) {
         return;
     }
     for (const auto &handler : handlers_) {
--- a/src/rows/internal/memoryrowstore.cpp
+++ b/src/rows/internal/memoryrowstore.cpp
@@ -6,15 +6,15 @@
 
 namespace {
 
-/// How often a held question looks for changes.
+/// How often a long poll checks for changes.
 constexpr Duration PollPeriod = std::chrono::milliseconds(20);
-/// When a call without an answer is given up.
+/// Time after which a call without a response fails.
 constexpr Duration AnswerTimeout = std::chrono::seconds(1);
 
-/// The first changes of @p page, @p most or, if a transaction wrote more, as many as that one.
-RowPage firstOf(RowPage page, std::size_t most)
+/// Truncates @p page to its first @p limit changes, or to more where a transaction would be split.
+RowPage truncateChanges(RowPage page, std::size_t limit)
 {
-    std::size_t kept = std::min(most, page.rows.size());
+    std::size_t kept = std::min(limit, page.rows.size());
     while (kept > 0 && kept < page.rows.size() && page.rows[kept].version == page.rows[kept - 1].version) {
         kept++;
     }
@@ -29,8 +29,8 @@
 
 } // namespace
 
-// Rows of the copy belong to the new era too.
-Row MemoryRows::asOfNow(Row row) const
+// After a restore the rows of the copy belong to the new era, too.
+Row MemoryRows::inCurrentEra(Row row) const
 {
     row.version.era = era_;
     return row;
@@ -39,19 +39,19 @@
 WriteResult MemoryRows::transact(const std::vector<RowWrite> &writes)
 {
     WriteResult result;
-    bool holds = true;
+    bool isSatisfied = true;
     for (const RowWrite &write : writes) {
         const auto found = rows_.find({write.table, write.key});
         const std::uint64_t current = found == rows_.end() ? 0 : found->second.version.number;
         if (write.isConditional && current != write.expectedVersion.number) {
-            holds = false;
+            isSatisfied = false;
         }
         if (write.isConditional && found != rows_.end()) {
-            result.current.push_back(asOfNow(found->second));
+            result.current.push_back(inCurrentEra(found->second));
         }
     }
     result.version = version();
-    if (!holds) {
+    if (!isSatisfied) {
         result.outcome = WriteOutcome::Conflict;
         return result;
     }
@@ -80,7 +80,7 @@
             page.hasMore = true;
             break;
         }
-        page.rows.push_back(asOfNow(row->second));
+        page.rows.push_back(inCurrentEra(row->second));
     }
     return page;
 }
@@ -94,7 +94,7 @@
     }
     for (const Change &change : history_) {
         if (change.table == table && change.row.version.number > version.number) {
-            page.rows.push_back(asOfNow(change.row));
+            page.rows.push_back(inCurrentEra(change.row));
         }
     }
     return {StoreFailure::None, page};
@@ -188,7 +188,7 @@
         return;
     }
     ReadResult result = failed(failure, sentAt);
-    result.page = firstOf(std::move(page), pageSize);
+    result.page = truncateChanges(std::move(page), pageSize);
     result.page.storeTime = loop_.now().time_since_epoch();
     handler(result);
 }
--- a/src/rows/internal/tabledigest.cpp
+++ b/src/rows/internal/tabledigest.cpp
@@ -25,14 +25,14 @@
     }
 }
 
-void TableDigest::take(std::span<const Row> changes)
+void TableDigest::update(std::span<const Row> changes)
 {
     for (const Row &row : changes) {
         add(row);
     }
 }
 
-// Sums of hashes do not depend on the order of the rows, and a row can be taken out again.
+// The digest is a sum of hashes, which does not depend on the order of the rows and from which a row can be subtracted.
 void TableDigest::add(const Row &row)
 {
     newest_ = std::max(newest_, row.version);
--- a/src/rows/memoryrowstore.h
+++ b/src/rows/memoryrowstore.h
@@ -11,18 +11,18 @@
 
 namespace cardamomlift::rows {
 
-/// The rows of a store in this process's memory: conditions and history, without time or transport.
+/// An in-memory store of rows with conditional writes and a change history, without clock or transport.
 class MemoryRows
 {
 public:
     /// Applies all of @p writes or none.
     WriteResult transact(const std::vector<RowWrite> &writes);
     RowPage read(const std::string &table, const std::string &from, std::size_t limit) const;
-    /// Changes after @p version. HistoryLost if some of them were forgotten.
+    /// Changes after @p version. HistoryLost if some of them were compacted.
     std::pair<StoreFailure, RowPage> changes(const std::string &table, StoreVersion version) const;
-    /// Forgets the changes up to now.
+    /// Drops the history of all changes so far.
     void compact();
-    /// Goes back to @p copy, an earlier state of these rows, and begins the next era.
+    /// Restores @p copy, an earlier state of these rows, and begins the next era.
     void restore(const MemoryRows &copy);
     StoreVersion version() const;
 
@@ -31,7 +31,7 @@
         std::string table;
         Row row;
     };
-    Row asOfNow(Row row) const;
+    Row inCurrentEra(Row row) const;
     std::map<std::pair<std::string, std::string>, Row> rows_; ///< By table and key.
     std::deque<Change> history_;
     std::uint64_t era_ = 1;
@@ -39,14 +39,14 @@
     std::uint64_t compactedTo_ = 0;
 };
 
-/// How the next calls of a MemoryRowStore misbehave.
+/// Faults to inject into the next calls of a MemoryRowStore.
 struct MemoryRowFaults {
-    bool down = false; ///< Refused; nothing is done.
-    bool silent = false; ///< No answer comes, and nothing is done.
-    bool loseAnswers = false; ///< Writes are done and not answered.
+    bool down = false; ///< Calls are refused and have no effect.
+    bool silent = false; ///< Calls get no response and have no effect.
+    bool loseAnswers = false; ///< Writes take effect but get no response.
 };
 
-/// A RowStore inside this process, for tests. Several VMs may share @p rows.
+/// An in-process RowStore for tests. Several VMs may share the same rows.
 class MemoryRowStore : public RowStore, public std::enable_shared_from_this<MemoryRowStore>
 {
 public:
@@ -57,7 +57,7 @@
     std::optional<StoreClock> clock() const override;
 
     MemoryRowFaults faults;
-    /// Rows that one page holds, and changes that one answer holds.
+    /// The largest number of rows or changes in one response.
     std::size_t pageSize = 500;
     std::uint64_t calls = 0;
 
--- a/src/rows/rowstore.h
+++ b/src/rows/rowstore.h
@@ -10,23 +10,24 @@
 /// A reading of the store's steady clock.
 struct StoreClock {
     Duration storeTime{0};
-    TimePoint readAt; ///< When the answer came that holds it.
+    TimePoint readAt; ///< When the response that holds it arrived.
 };
 
-/// The platform's store of versioned rows: linearizable, with conditional transactions and a feed of changes. Calls never
-/// block; handlers run on the loop's thread, never from inside the call.
+/// Client of the platform's store of versioned rows, which is linearizable and has conditional transactions and a change feed.
+/// Calls do not block. Handlers run on the event loop's thread, never from within the call.
 class RowStore
 {
 public:
     virtual ~RowStore() = default;
-    /// Rows of @p table with a key of at least @p from, in order.
+    /// Reads the rows of @p table whose key is at least @p from, in the order of their keys.
     virtual void read(std::string table, std::string from, ReadHandler handler) = 0;
-    /// What changed in @p table after @p version, as soon as there is something or @p wait has passed. HistoryLost if the store
-    /// has been restored since that version.
+    /// Reads the changes of @p table after @p version by a long poll: the store answers as soon as there are any, or after
+    /// @p wait. Fails with HistoryLost if the store was restored since that version.
     virtual void changes(std::string table, StoreVersion version, Duration wait, ReadHandler handler) = 0;
-    /// All or none of @p writes. Conflict, without rows, if a condition names a version from before the store was restored.
+    /// Applies all of @p writes or none. Conflict, without rows, if a condition names a version from before the store's last
+    /// restore.
     virtual void write(std::vector<RowWrite> writes, WriteHandler handler) = 0;
-    /// The newest reading of its clock; empty before the first answer.
+    /// The latest reading of the store's clock; empty before the first response.
     virtual std::optional<StoreClock> clock() const = 0;
     EraTracker &eras()
     {
--- a/src/rows/rowtypes.h
+++ b/src/rows/rowtypes.h
@@ -15,10 +15,10 @@
 
 namespace cardamomlift::rows {
 
-/// A moment in the history of the platform's store. The store numbers its transactions over all tables. If it is restored
-/// from an older copy, it goes on from the copy's number in the next era, so numbers of two eras do not compare.
+/// A version of the platform's store. The store numbers its transactions across all tables. When it is restored from an older
+/// copy, it continues from the copy's number in the next era, so numbers of different eras can't be compared.
 struct StoreVersion {
-    std::uint64_t era = 0; ///< 0 if the store names none.
+    std::uint64_t era = 0; ///< 0 if the store does not report one.
     std::uint64_t number = 0; ///< 0: before the first transaction.
     bool operator==(const StoreVersion &) const = default;
     std::strong_ordering operator<=>(const StoreVersion &other) const
@@ -31,91 +31,91 @@
 struct Row {
     std::string key;
     std::string value;
-    StoreVersion version; ///< Of the transaction that wrote it, in the era in which it was read.
-    bool isDeleted = false; ///< Only in changes.
+    StoreVersion version; ///< Number of the transaction that wrote it, and the era in which it was read.
+    bool isDeleted = false; ///< Set only in changes.
 };
 
-/// Rows as of one moment.
+/// Rows or changes that the store returned in one response, all as of one version.
 struct RowPage {
     std::vector<Row> rows;
     bool hasMore = false;
-    StoreVersion version; ///< The store's newest; of changes that have more to come, the last one's.
-    Duration storeTime{0}; ///< The store's steady clock.
+    StoreVersion version; ///< The store's latest version; for changes with @c hasMore, the version of the last one.
+    Duration storeTime{0}; ///< Reading of the store's steady clock.
 };
 
-/// Why a table is read whole.
+/// Why a snapshot of a table is read.
 enum class ReadReason {
-    First, ///< Nothing of it was known.
-    HistoryLost, ///< The store does not keep the changes since what was known.
-    StoreRestored, ///< The store was restored from an older copy: what was known may be gone.
-    Diverged, ///< Another VM knows other rows at the same version.
+    First, ///< Nothing of the table was known.
+    HistoryLost, ///< The store no longer keeps the changes since the known version.
+    StoreRestored, ///< The store was restored from an older copy: rows that were known may be gone.
+    Diverged, ///< Another VM has different rows at the same version.
 };
 
-/// For the log.
+/// The name of @p reason in the event log.
 std::string_view readReasonName(ReadReason reason);
 
 /// All rows of a table.
 struct TableSnapshot {
     std::vector<Row> rows;
-    StoreVersion version; ///< Changes after it may be missing.
+    StoreVersion version; ///< Changes after this version may be missing.
     ReadReason reason = ReadReason::First;
 };
 
-/// Why a call to the store gave nothing.
+/// Why a call to the store failed.
 enum class StoreFailure {
     None,
-    Refused, ///< The store is away or over its rate; nothing was done.
-    Unreachable, ///< No connection; nothing was done.
-    NoAnswer, ///< The call may have been done, or may still be.
-    HistoryLost, ///< The changes asked for are no longer kept; read the table anew.
-    Outdated, ///< The answer was given before the store was restored from a copy.
-    Invalid, ///< The store did not understand the call, or we its answer.
+    Refused, ///< The store is unavailable or its rate limit was hit; the call had no effect.
+    Unreachable, ///< No connection; the call had no effect.
+    NoAnswer, ///< The call may have taken effect, or may still do so.
+    HistoryLost, ///< The requested changes are no longer kept; the table must be read again as a whole.
+    Outdated, ///< The response is from before the store was restored from a copy.
+    Invalid, ///< The store rejected the call as invalid, or its response could not be parsed.
 };
 
 /// The outcome of a read.
 struct ReadResult {
     StoreFailure failure = StoreFailure::None;
     RowPage page;
-    TimePoint sentAt; ///< When the call was sent.
+    TimePoint sentAt; ///< When the request was sent.
 };
 
-/// What one VM knows of a table, for another that has not asked the store itself.
+/// Recent changes of a table, which one VM sends to others so that they need not poll the store themselves.
 struct TableDelta {
-    StoreVersion version; ///< All changes up to it are known to the sender.
-    StoreVersion since; ///< @c changes holds all that came after this version; of the same era.
-    std::vector<Row> changes; ///< In order; the newest ones only.
-    Duration age{0}; ///< How old the sender's knowledge is that nothing newer exists.
+    StoreVersion version; ///< The sender knows all changes up to this version.
+    StoreVersion since; ///< @c changes holds all changes after this version; of the same era.
+    std::vector<Row> changes; ///< Ordered; only the most recent ones.
+    Duration age{0}; ///< Time since the sender last confirmed that there are no newer changes.
     std::optional<std::uint64_t> digest; ///< Of all rows at @c version; see TableDigest.
-    std::uint64_t changedAt = std::numeric_limits<std::uint64_t>::max(); ///< No change came between this number and @c version.
+    std::uint64_t changedAt = std::numeric_limits<std::uint64_t>::max(); ///< There was no change between this number and @c version.
 };
 
-/// One change of a transaction. All rows of a transaction lie in one part.
+/// One write of a transaction. All rows of a transaction must be in the same partition (`part` in the API).
 struct RowWrite {
     std::string table;
     std::string key;
     std::string value;
     bool removes = false;
     bool isConditional = false;
-    StoreVersion expectedVersion; ///< With isConditional; its number 0: the row must not exist.
+    StoreVersion expectedVersion; ///< The condition, if isConditional; with number 0 the row must not exist.
 };
 
-/// What became of a transaction.
+/// Whether a transaction took effect.
 enum class WriteOutcome {
     Written,
     Conflict, ///< A condition did not hold; nothing was written.
-    NotWritten, ///< Certainly nothing was written.
-    Unknown, ///< It may have taken effect, or may still.
+    NotWritten, ///< Nothing was written.
+    Unknown, ///< It may have taken effect, or may still do so.
 };
 
 /// The outcome of a transaction.
 struct WriteResult {
     WriteOutcome outcome = WriteOutcome::Unknown;
-    std::vector<Row> current; ///< With Conflict: the rows of the conditions as they are.
-    StoreVersion version; ///< With Written: of the rows written.
+    std::vector<Row> current; ///< On Conflict: the current rows that the conditions refer to.
+    StoreVersion version; ///< On Written: the version of the written rows.
     Duration storeTime{0};
 };
 
-/// Whether a condition of @p writes names a version of an era before @p era: the same number may stand for another row now.
+/// Whether a condition of @p writes names a version of an era before @p era: the same number may belong to another row now.
 bool isOutdated(std::span<const RowWrite> writes, std::uint64_t era);
 
 using ReadHandler = std::function<void(const ReadResult &result)>;
--- a/src/rows/tabledigest.h
+++ b/src/rows/tabledigest.h
@@ -10,21 +10,21 @@
 
 namespace cardamomlift::rows {
 
-/// Stands for all rows of a table at a version: VMs that know the same rows at the same version have the same one.
+/// A digest of all rows of a table at a version: VMs that have the same rows at the same version have the same digest.
 class TableDigest
 {
 public:
-    /// The table holds just these rows. @p upTo: the newest version that they may be of; they were read in several pages.
+    /// Replaces all rows. @p upTo is the latest version that a row may have, as @p rows may have been read in several pages.
     void replaceAll(std::span<const Row> rows, StoreVersion upTo);
-    void take(std::span<const Row> changes);
-    /// Empty if rows of a later version than @p version are among those taken, and others of that time may not be.
+    void update(std::span<const Row> changes);
+    /// The digest at @p version. Empty if rows of a later version may be included, as others of that version may be missing.
     std::optional<std::uint64_t> at(StoreVersion version) const;
 
 private:
     void add(const Row &row);
-    std::unordered_map<std::string, std::uint64_t> versions_; ///< Numbers of the rows' versions, by key.
+    std::unordered_map<std::string, std::uint64_t> versions_; ///< Version numbers of the rows, by key.
     std::uint64_t sum_ = 0;
-    StoreVersion newest_; ///< Of all that was taken.
+    StoreVersion newest_; ///< The latest version that an included row may have.
 };
 
 } // namespace cardamomlift::rows
--- a/src/rows/tests/tabledigest_test.cpp
+++ b/src/rows/tests/tabledigest_test.cpp
@@ -13,20 +13,20 @@
 
 const StoreVersion Now{1, 9};
 
-TEST(TableDigest, DoesNotDependOnTheWayInWhichTheRowsBecameKnown)
+TEST(TableDigest, DoesNotDependOnHowTheRowsBecameKnown)
 {
     TableDigest read;
     read.replaceAll(std::vector<Row>{row("a", 7), row("c", 5)}, Now);
     TableDigest followed;
     followed.replaceAll(std::vector<Row>{row("c", 2), row("b", 3)}, {1, 3});
-    followed.take(std::vector<Row>{row("a", 4), row("c", 5), row("b", 6, true), row("a", 7)});
+    followed.update(std::vector<Row>{row("a", 4), row("c", 5), row("b", 6, true), row("a", 7)});
     ASSERT_TRUE(read.at(Now));
     EXPECT_EQ(read.at(Now), followed.at(Now));
-    followed.take(std::vector<Row>{row("d", 8, true)});
-    EXPECT_EQ(read.at(Now), followed.at(Now)) << "a row that was not known goes";
+    followed.update(std::vector<Row>{row("d", 8, true)});
+    EXPECT_EQ(read.at(Now), followed.at(Now)) << "the removal of an unknown row changes nothing";
 }
 
-TEST(TableDigest, DiffersByARowThatIsMissingTooManyOrOlder)
+TEST(TableDigest, DiffersForAMissingAnAdditionalOrAnOlderRow)
 {
     TableDigest whole;
     whole.replaceAll(std::vector<Row>{row("a", 7), row("b", 8)}, Now);
@@ -37,13 +37,13 @@
     }
 }
 
-TEST(TableDigest, SaysNothingOfATimeBeforeTheNewestRow)
+TEST(TableDigest, IsEmptyForAVersionBeforeTheNewestRow)
 {
     TableDigest digest;
     digest.replaceAll(std::vector<Row>{row("a", 7)}, {1, 8});
     EXPECT_FALSE(digest.at({1, 7}));
     EXPECT_TRUE(digest.at({1, 8}));
-    digest.take(std::vector<Row>{row("b", 12)});
+    digest.update(std::vector<Row>{row("b", 12)});
     EXPECT_FALSE(digest.at({1, 11}));
     EXPECT_TRUE(digest.at({2, 1})) << "a later era";
 }
