--- a/src/rows/internal/rowwatch.cpp
+++ b/src/rows/internal/rowwatch.cpp
@@ -8,23 +8,23 @@
 
 namespace {
 
-/// First pause after a failed call. An outage may be of one VM only and short, so it starts small.
+/// Initial backoff after a failed call. It is short, as an outage may be brief and affect only one VM.
 constexpr Duration FirstBackoff = std::chrono::milliseconds(100);
-/// Longest pause: two of them fit into the time within which a new manifest must be in force.
-constexpr Duration LongestBackoff = std::chrono::milliseconds(800);
-
-/// From one question that brought changes to the next. Servers that are ordered and leave change the list many times a
-/// second, and each answer is paid for; the first change after a pause comes at once.
-constexpr Duration PauseBetweenChanges = std::chrono::milliseconds(250);
-/// From one reading of the whole table since another VM knows other rows to the next: the other one may be the one to learn.
-constexpr Duration PauseBetweenDivergences = std::chrono::seconds(5);
-/// How often a watch that may not ask looks whether it may.
-constexpr Duration GateCheck = std::chrono::milliseconds(150);
-/// Changes are told for this long: several statuses, of which some may be lost.
-constexpr Duration RecentTime = std::chrono::seconds(4);
-/// Of the changes that are kept for others: the entries of a failure domain's servers, or a manifest of usual size. A VM
-/// that misses more asks the store itself.
-constexpr std::size_t RecentBytes = 48'000;
+/// Longest backoff: two of them fit into the time within which a new manifest must take effect.
+constexpr Duration MaxBackoff = std::chrono::milliseconds(800);
+
+/// Least time between two polls if the first brought changes. Servers that are ordered or leave change the list many times
+/// a second, and each response is charged. The first change after a pause still arrives at once.
+constexpr Duration MinChangePollInterval = std::chrono::milliseconds(250);
+/// Least time between two reloads because another VM has different rows: it may be the other VM whose rows are wrong.
+constexpr Duration MinDivergenceReloadInterval = std::chrono::seconds(5);
+/// How often a watch that may not poll checks the condition again.
+constexpr Duration ConditionCheckInterval = std::chrono::milliseconds(150);
+/// Changes are sent to other VMs for this long: with several statuses, of which some may be lost.
+constexpr Duration RecentChangeLifetime = std::chrono::seconds(4);
+/// Largest total size of the changes kept for other VMs: enough for the entries of all servers in a failure domain, or for a
+/// manifest of usual size. A VM that lacks more polls the store itself.
+constexpr std::size_t MaxRecentBytes = 48'000;
 
 } // namespace
 
@@ -44,7 +44,7 @@
             self->onRestored();
         }
     });
-    watch->readAll({});
+    watch->readFrom({});
     return watch;
 }
 
@@ -53,10 +53,10 @@
     stopped_ = true;
 }
 
-void RowWatch::readAll(std::string from)
+void RowWatch::readFrom(std::string from)
 {
     if (from.empty()) {
-        collected_.clear();
+        snapshotRows_.clear();
     }
     tools_.store->read(table_, std::move(from), [weak = weak_from_this()](const ReadResult &result) {
         const auto self = weak.lock();
@@ -73,48 +73,49 @@
         return;
     }
     backoff_ = Duration(0);
-    if (collected_.empty()) {
-        collectSince_ = result.sentAt;
-        collectVersion_ = result.page.version;
+    if (snapshotRows_.empty()) {
+        snapshotSentAt_ = result.sentAt;
+        snapshotVersion_ = result.page.version;
     }
-    if (result.page.version.era != collectVersion_.era) {
-        readAll({});
+    if (result.page.version.era != snapshotVersion_.era) {
+        readFrom({});
         return;
     }
-    collectedUpTo_ = result.page.version;
-    collected_.insert(collected_.end(), result.page.rows.begin(), result.page.rows.end());
+    lastPageVersion_ = result.page.version;
+    snapshotRows_.insert(snapshotRows_.end(), result.page.rows.begin(), result.page.rows.end());
     if (result.page.hasMore && !result.page.rows.empty()) {
-        // The key that follows the last one in byte order.
-        readAll(result.page.rows.back().key + '\0');
+        // The next possible key in byte order.
+        readFrom(result.page.rows.back().key + '\0');
         return;
     }
-    takeAll();
+    finishSnapshot();
 }
 
-void RowWatch::takeAll()
+void RowWatch::finishSnapshot()
 {
-    TableSnapshot whole;
-    whole.rows = std::exchange(collected_, {});
-    // Pages are of different moments: what changed between them comes again by the feed from the first page's version.
-    whole.version = collectVersion_;
-    whole.reason = readReason();
-    digest_.replaceAll(whole.rows, collectedUpTo_);
-    isRead_ = true;
-    behind_ = false;
-    version_ = collectVersion_;
+    TableSnapshot snapshot;
+    snapshot.rows = std::exchange(snapshotRows_, {});
+    // The pages are of different versions. Changes between them come again from the feed, which is read from the first page's
+    // version on.
+    snapshot.version = snapshotVersion_;
+    snapshot.reason = readReason();
+    digest_.replaceAll(snapshot.rows, lastPageVersion_);
+    isLoaded_ = true;
+    isBehind_ = false;
+    version_ = snapshotVersion_;
     changedAt_ = version_.number;
     recent_.clear();
     recentBytes_ = 0;
     recentSince_ = version_.number;
-    isReadForDivergence_ = false;
+    isReloadForDivergence_ = false;
     setReachable(true, StoreFailure::None);
-    logReading(whole);
-    handlers_.onSnapshot(whole);
-    confirm(collectSince_);
-    if (whole.reason == ReadReason::StoreRestored && onStoreChanges_) {
+    logSnapshot(snapshot);
+    handlers_.onSnapshot(snapshot);
+    confirm(snapshotSentAt_);
+    if (snapshot.reason == ReadReason::StoreRestored && onStoreChanges_) {
         onStoreChanges_();
     }
-    askIfMay();
+    pollIfAllowed();
 }
 
 ReadReason RowWatch::readReason() const
@@ -122,54 +123,54 @@
     if (version_ == StoreVersion()) {
         return ReadReason::First;
     }
-    if (collectVersion_.era != version_.era) {
+    if (snapshotVersion_.era != version_.era) {
         return ReadReason::StoreRestored;
     }
-    return isReadForDivergence_ ? ReadReason::Diverged : ReadReason::HistoryLost;
+    return isReloadForDivergence_ ? ReadReason::Diverged : ReadReason::HistoryLost;
 }
 
 void RowWatch::onRestored()
 {
-    if (!stopped_ && isRead_) {
-        readAnew();
+    if (!stopped_ && isLoaded_) {
+        reload();
     }
 }
 
-void RowWatch::readAnew()
+void RowWatch::reload()
 {
-    isRead_ = false;
-    tools_.loop->cancel(askTimer_);
-    readAll({});
+    isLoaded_ = false;
+    tools_.loop->cancel(pollTimer_);
+    readFrom({});
 }
 
-void RowWatch::logReading(const TableSnapshot &whole) const
+void RowWatch::logSnapshot(const TableSnapshot &snapshot) const
 {
     tools_.log->write(eventlog::Event::TableRead,
         {{eventlog::Attribute::Table, table_},
-            {eventlog::Attribute::Reason, readReasonName(whole.reason)},
-            {eventlog::Attribute::Era, static_cast<std::int64_t>(whole.version.era)},
-            {eventlog::Attribute::Version, static_cast<std::int64_t>(whole.version.number)},
-            {eventlog::Attribute::Count, static_cast<std::int64_t>(whole.rows.size())}});
+            {eventlog::Attribute::Reason, readReasonName(snapshot.reason)},
+            {eventlog::Attribute::Era, static_cast<std::int64_t>(snapshot.version.era)},
+            {eventlog::Attribute::Version, static_cast<std::int64_t>(snapshot.version.number)},
+            {eventlog::Attribute::Count, static_cast<std::int64_t>(snapshot.rows.size())}});
 }
 
-void RowWatch::askIfMay()
+void RowWatch::pollIfAllowed()
 {
-    if (stopped_ || asking_ || !isRead_) {
+    if (stopped_ || isPolling_ || !isLoaded_) {
         return;
     }
-    if (!mayAsk_ || behind_ || mayAsk_()) {
-        ask();
+    if (!mayPoll_ || isBehind_ || mayPoll_()) {
+        poll();
         return;
     }
-    askLater(GateCheck);
+    pollLater(ConditionCheckInterval);
 }
 
-void RowWatch::askLater(Duration delay)
+void RowWatch::pollLater(Duration delay)
 {
-    tools_.loop->cancel(askTimer_);
-    askTimer_ = tools_.loop->after(delay, [weak = weak_from_this()] {
+    tools_.loop->cancel(pollTimer_);
+    pollTimer_ = tools_.loop->after(delay, [weak = weak_from_this()] {
         if (const auto self = weak.lock()) {
-            self->askIfMay();
+            self->pollIfAllowed();
         }
     });
 }
@@ -180,23 +181,23 @@
     handlers_.onConfirmed(at);
 }
 
-void RowWatch::remember(const std::vector<Row> &rows)
+void RowWatch::recordChanges(const std::vector<Row> &rows)
 {
     const TimePoint now = tools_.loop->now();
-    digest_.take(rows);
+    digest_.update(rows);
     for (const Row &row : rows) {
         recent_.push_back({row, now});
         recentBytes_ += row.key.size() + row.value.size();
         changedAt_ = std::max(changedAt_, row.version.number);
     }
-    forgetOld();
+    trimRecent();
 }
 
-void RowWatch::forgetOld()
+void RowWatch::trimRecent()
 {
     const TimePoint now = tools_.loop->now();
-    while (!recent_.empty() && (now - recent_.front().at > RecentTime || recentBytes_ > RecentBytes)) {
-        // NOTE One transaction may write several rows at one version: they are told together or not at all.
+    while (!recent_.empty() && (now - recent_.front().at > RecentChangeLifetime || recentBytes_ > MaxRecentBytes)) {
+        // NOTE A transaction may write several rows at one version: they are kept and sent together or not at all.
         const std::uint64_t number = recent_.front().row.version.number;
         while (!recent_.empty() && recent_.front().row.version.number == number) {
             recentBytes_ -= recent_.front().row.key.size() + recent_.front().row.value.size();
@@ -208,8 +209,8 @@
 
 std::optional<TableDelta> RowWatch::delta()
 {
-    forgetOld();
-    if (!isRead_ || !confirmedAt_) {
+    trimRecent();
+    if (!isLoaded_ || !confirmedAt_) {
         return std::nullopt;
     }
     TableDelta delta;
@@ -231,22 +232,22 @@
 
 void RowWatch::applyDelta(const TableDelta &delta, TimePoint provenAt)
 {
-    if (!isRead_ || stopped_ || delta.version.era < version_.era) {
+    if (!isLoaded_ || stopped_ || delta.version.era < version_.era) {
         return;
     }
     if (delta.version.era > version_.era) {
-        readAnew();
+        reload();
         return;
     }
     if (hasGap(delta)) {
-        behind_ = true;
-        askIfMay();
+        isBehind_ = true;
+        pollIfAllowed();
         return;
     }
     if (delta.version > version_) {
         std::vector<Row> missed;
         std::copy_if(delta.changes.begin(), delta.changes.end(), std::back_inserter(missed), [this](const Row &row) { return row.version > version_; });
-        remember(missed);
+        recordChanges(missed);
         version_ = delta.version;
         if (!missed.empty()) {
             handlers_.onChanges(missed);
@@ -265,21 +266,21 @@
     return delta.version == version_ && delta.digest && own && *delta.digest != *own;
 }
 
-// Which of the two is wrong can't be told, so nothing is confirmed; the store knows.
+// It is unknown which of the two VMs is wrong, so nothing is confirmed until the table was read from the store.
 void RowWatch::onDiverged()
 {
     const TimePoint now = tools_.loop->now();
-    if (divergedAt_ && now - *divergedAt_ < PauseBetweenDivergences) {
+    if (divergedAt_ && now - *divergedAt_ < MinDivergenceReloadInterval) {
         return;
     }
     divergedAt_ = now;
-    isReadForDivergence_ = true;
-    readAnew();
+    isReloadForDivergence_ = true;
+    reload();
 }
 
-void RowWatch::setPollCondition(std::function<bool()> mayAsk)
+void RowWatch::setPollCondition(std::function<bool()> mayPoll)
 {
-    mayAsk_ = std::move(mayAsk);
+    mayPoll_ = std::move(mayPoll);
 }
 
 void RowWatch::onStoreChanges(std::function<void()> handler)
@@ -309,26 +310,26 @@
 
 std::optional<TimePoint> RowWatch::lastUnreachableAt() const
 {
-    return reachable_ ? regainedAt_ : std::optional(tools_.loop->now());
+    return reachable_ ? outageEndedAt_ : std::optional(tools_.loop->now());
 }
 
-void RowWatch::ask()
+void RowWatch::poll()
 {
-    const bool isGated = mayAsk_ && !mayAsk_();
-    const Duration wait = confirmAtOnce_ || behind_ || isGated ? Duration(0) : wait_;
-    confirmAtOnce_ = false;
-    asking_ = true;
+    const bool isHeldBack = mayPoll_ && !mayPoll_();
+    const Duration wait = pollWithoutWait_ || isBehind_ || isHeldBack ? Duration(0) : wait_;
+    pollWithoutWait_ = false;
+    isPolling_ = true;
     tools_.store->changes(table_, version_, wait, [weak = weak_from_this(), era = version_.era](const ReadResult &result) {
         const auto self = weak.lock();
         if (!self || self->stopped_) {
             return;
         }
-        self->asking_ = false;
-        if (self->isRead_ && self->version_.era == era) {
+        self->isPolling_ = false;
+        if (self->isLoaded_ && self->version_.era == era) {
             self->onChanges(result);
         } else {
-            // The table was read anew meanwhile, or still is.
-            self->askIfMay();
+            // A new snapshot was read meanwhile, or is still being read.
+            self->pollIfAllowed();
         }
     });
 }
@@ -336,7 +337,7 @@
 void RowWatch::onChanges(const ReadResult &result)
 {
     if (result.failure == StoreFailure::HistoryLost) {
-        readAnew();
+        reload();
         return;
     }
     if (result.failure != StoreFailure::None) {
@@ -345,29 +346,29 @@
     }
     backoff_ = Duration(0);
     setReachable(true, StoreFailure::None);
-    // Where there is more to come, what is known may lack a change until then.
-    behind_ = result.page.hasMore;
+    // While the feed has more, some changes are still missing here.
+    isBehind_ = result.page.hasMore;
     const bool hasChanges = !result.page.rows.empty();
-    takeChanges(result.page);
-    if (behind_) {
-        askIfMay();
+    applyChanges(result.page);
+    if (isBehind_) {
+        pollIfAllowed();
         return;
     }
     confirm(result.sentAt);
     const Duration since = tools_.loop->now() - result.sentAt;
-    if (hasChanges && since < PauseBetweenChanges) {
-        askLater(PauseBetweenChanges - since);
+    if (hasChanges && since < MinChangePollInterval) {
+        pollLater(MinChangePollInterval - since);
         return;
     }
-    askIfMay();
+    pollIfAllowed();
 }
 
-// Another VM may have told some of the changes while the question was on its way.
-void RowWatch::takeChanges(const RowPage &page)
+// Another VM may have sent some of the changes while the request was in progress.
+void RowWatch::applyChanges(const RowPage &page)
 {
     std::vector<Row> missed;
     std::copy_if(page.rows.begin(), page.rows.end(), std::back_inserter(missed), [this](const Row &row) { return row.version > version_; });
-    remember(missed);
+    recordChanges(missed);
     version_ = std::max(version_, page.version);
     if (missed.empty()) {
         return;
@@ -383,13 +384,13 @@
     if (failure != StoreFailure::Outdated) {
         setReachable(false, failure);
     }
-    confirmAtOnce_ = true;
-    backoff_ = backoff_.count() == 0 ? FirstBackoff : std::min(backoff_ * 2, LongestBackoff);
-    if (!isRead_) {
-        readAllLater();
+    pollWithoutWait_ = true;
+    backoff_ = backoff_.count() == 0 ? FirstBackoff : std::min(backoff_ * 2, MaxBackoff);
+    if (!isLoaded_) {
+        retryReadLater();
         return;
     }
-    askLater(backoff_);
+    pollLater(backoff_);
 }
 
 void RowWatch::setReachable(bool reachable, StoreFailure failure)
@@ -399,17 +400,17 @@
     }
     reachable_ = reachable;
     if (reachable) {
-        regainedAt_ = tools_.loop->now();
+        outageEndedAt_ = tools_.loop->now();
     }
     handlers_.onReachabilityChanged(reachable, failure);
 }
 
-void RowWatch::readAllLater()
+void RowWatch::retryReadLater()
 {
     tools_.loop->after(backoff_, [weak = weak_from_this()] {
         const auto self = weak.lock();
         if (self && !self->stopped_) {
-            self->readAll({});
+            self->readFrom({});
         }
     });
 }
--- a/src/rows/rowwatch.h
+++ b/src/rows/rowwatch.h
@@ -13,111 +13,112 @@
 
 namespace cardamomlift::rows {
 
-/// What a watch works with.
+/// Dependencies of a watch.
 struct WatchTools {
     EventLoop *loop = nullptr;
     std::shared_ptr<RowStore> store;
     std::shared_ptr<eventlog::EventLog> log;
 };
 
-/// What a watch tells its owner.
+/// Callbacks of a watch.
 struct WatchHandlers {
-    std::function<void(const TableSnapshot &whole)> onSnapshot; ///< The whole table was read.
+    std::function<void(const TableSnapshot &snapshot)> onSnapshot; ///< The whole table was read; it replaces all earlier rows.
     std::function<void(const std::vector<Row> &rows)> onChanges;
-    /// All that was written before @p sentAt has been told.
+    /// All changes written before @p sentAt have been passed on.
     std::function<void(TimePoint sentAt)> onConfirmed;
-    std::function<void(bool reachable, StoreFailure failure)> onReachabilityChanged; ///< Called when it changes.
+    std::function<void(bool reachable, StoreFailure failure)> onReachabilityChanged;
 };
 
-/// Follows a table: reads it whole, then by its feed of changes, for as long as it lives.
+/// Follows a table: reads a snapshot, then polls its change feed until it is stopped or destroyed.
 class RowWatch : public std::enable_shared_from_this<RowWatch>
 {
 public:
-    /// @p wait: how long the store may hold a question that has no answer yet.
+    /// @p wait: the long-poll timeout, for which the store may hold a request while there are no changes.
     static std::shared_ptr<RowWatch> start(WatchTools tools, std::string table, Duration wait, WatchHandlers handlers);
-    /// Ends it; no handler is called any more.
+    /// Stops following the table. No handler is called from then on.
     void stop();
 
-    /// The store is asked only while @p mayAsk says so: other VMs may tell what is new. Without a gate it always is.
-    void setPollCondition(std::function<bool()> mayAsk);
-    /// Whether @p delta may lack changes that this watch does not know either.
+    /// Polls the store only while @p mayPoll returns true, as other VMs may send the changes. By default it always polls.
+    void setPollCondition(std::function<bool()> mayPoll);
+    /// Whether @p delta lacks changes after the version that this watch knows.
     bool hasGap(const TableDelta &delta) const;
-    /// Another VM's knowledge, which was complete at @p provenAt less its age. With a gap the store is asked at once; where the
-    /// rows differ at the same version nothing is confirmed, and the table is read anew.
+    /// Applies changes from another VM, which were complete at @p provenAt less their age. If there is a gap, the store is polled
+    /// at once. If the rows differ at the same version, nothing is confirmed and a new snapshot is read.
     void applyDelta(const TableDelta &delta, TimePoint provenAt);
-    /// How long the store may hold the questions that are asked from now on.
+    /// Sets the long-poll timeout of the requests from now on.
     void setPollWait(Duration wait);
-    /// @p handler is called after the store itself has told changes.
+    /// Calls @p handler after changes or a restore were learned from the store, not from another VM.
     void onStoreChanges(std::function<void()> handler);
-    /// What this VM knows, for others; empty before the first reading.
+    /// The recent changes, to be sent to other VMs; empty before the first snapshot.
     std::optional<TableDelta> delta();
     const std::string &table() const;
-    /// All changes up to it are known, unless the table is being read anew.
+    /// All changes up to this version are known, unless a new snapshot is being read.
     StoreVersion version() const;
-    /// Since when nothing can have changed unnoticed; empty before the first reading.
+    /// All changes written before this time are known; empty before the first snapshot.
     std::optional<TimePoint> confirmedAt() const;
-    /// When the store was regained last; now while it is lost; empty if it was never lost.
+    /// When the last outage of the store ended; the current time during an outage; empty if there was none.
     std::optional<TimePoint> lastUnreachableAt() const;
 
 private:
     RowWatch(WatchTools tools, std::string table, Duration wait, WatchHandlers handlers);
-    void readAnew();
-    void readAll(std::string from);
+    void reload();
+    void readFrom(std::string from);
     void onPage(const ReadResult &result);
-    void takeAll();
+    void finishSnapshot();
     ReadReason readReason() const;
-    void logReading(const TableSnapshot &whole) const;
+    void logSnapshot(const TableSnapshot &snapshot) const;
     void onRestored();
-    void ask();
+    void poll();
     void onChanges(const ReadResult &result);
-    void takeChanges(const RowPage &page);
+    void applyChanges(const RowPage &page);
     void onFailure(StoreFailure failure);
-    void askIfMay();
+    void pollIfAllowed();
     void confirm(TimePoint at);
-    /// Whether the sender of @p delta, which is of the version known here, knows other rows.
+    /// Whether @p delta is of the version known here, but its sender has different rows.
     bool isDiverged(const TableDelta &delta) const;
     void onDiverged();
-    void remember(const std::vector<Row> &rows);
-    void forgetOld();
+    void recordChanges(const std::vector<Row> &rows);
+    void trimRecent();
     void setReachable(bool reachable, StoreFailure failure);
-    void askLater(Duration delay);
-    void readAllLater();
+    void pollLater(Duration delay);
+    void retryReadLater();
     WatchTools tools_;
     std::string table_;
-    Duration wait_;
+    Duration wait_; ///< The long-poll timeout.
     WatchHandlers handlers_;
-    std::vector<Row> collected_; ///< Of a table that is read in several pages.
-    TimePoint collectSince_;
-    StoreVersion collectVersion_;
-    StoreVersion collectedUpTo_; ///< Of the last page.
+    std::vector<Row> snapshotRows_; ///< Rows of the pages read so far.
+    TimePoint snapshotSentAt_; ///< When the request for the first page was sent.
+    StoreVersion snapshotVersion_; ///< Of the first page.
+    StoreVersion lastPageVersion_;
     TableDigest digest_;
-    std::optional<TimePoint> divergedAt_; ///< When the table was last read anew since another VM knew other rows.
-    bool isReadForDivergence_ = false;
-    bool isRead_ = false; ///< False while the whole table is read.
-    StoreVersion version_; ///< Of an earlier reading while the table is read anew.
-    std::uint64_t changedAt_ = 0; ///< Of the newest known change; of a whole reading, which does not show what was removed, its version.
+    std::optional<TimePoint> divergedAt_; ///< When the table was last reloaded because another VM had different rows.
+    bool isReloadForDivergence_ = false;
+    bool isLoaded_ = false; ///< False while a snapshot is being read.
+    StoreVersion version_; ///< While a new snapshot is being read: the version known before.
+    /// Version number of the latest known change. After a snapshot, which does not show removed rows: the snapshot's version.
+    std::uint64_t changedAt_ = 0;
     Duration backoff_{0};
     bool reachable_ = true;
-    /// A change that is told to others for a while.
+    /// A change that is sent to other VMs for a while.
     struct Recent {
         Row row;
         TimePoint at;
     };
-    std::function<bool()> mayAsk_;
+    std::function<bool()> mayPoll_;
     std::function<void()> onStoreChanges_;
     std::deque<Recent> recent_; ///< Oldest first.
     std::size_t recentBytes_ = 0;
-    std::uint64_t recentSince_ = 0; ///< recent_ holds all changes after this version's number.
+    std::uint64_t recentSince_ = 0; ///< recent_ holds all changes after this version number.
     std::optional<TimePoint> confirmedAt_;
-    std::optional<TimePoint> regainedAt_;
-    TimerId askTimer_ = 0;
-    bool asking_ = false;
-    bool behind_ = false; ///< Another VM knows of changes that it could not tell.
-    bool confirmAtOnce_ = false; ///< The next question must not wait: the last one brought no answer.
+    std::optional<TimePoint> outageEndedAt_;
+    TimerId pollTimer_ = 0;
+    bool isPolling_ = false;
+    bool isBehind_ = false; ///< There are known to be changes that this watch lacks: another VM has them, or the feed has more.
+    bool pollWithoutWait_ = false; ///< The next poll must not wait for changes, as the last one failed.
     bool stopped_ = false;
 };
 
-/// The watches of a daemon.
+/// All watches of a daemon.
 using Watches = std::vector<std::shared_ptr<RowWatch>>;
 
 } // namespace cardamomlift::rows
--- a/src/rows/tests/rowwatch_test.cpp
+++ b/src/rows/tests/rowwatch_test.cpp
@@ -9,7 +9,7 @@
 
 using std::chrono::milliseconds;
 
-/// A watch of table "t" on a paused clock.
+/// Watches table "t" on a manual clock.
 class RowWatchTest : public testing::Test
 {
 protected:
@@ -23,13 +23,13 @@
     void start()
     {
         WatchHandlers handlers;
-        handlers.onSnapshot = [this](const TableSnapshot &whole) {
-            allCalls_++;
+        handlers.onSnapshot = [this](const TableSnapshot &snapshot) {
+            snapshots_++;
             known_.clear();
-            take(whole.rows);
+            apply(snapshot.rows);
         };
         handlers.onChanges = [this](const std::vector<Row> &rows) {
-            take(rows);
+            apply(rows);
         };
         handlers.onConfirmed = [this](TimePoint sentAt) {
             confirmedAt_ = sentAt;
@@ -40,7 +40,7 @@
         watch_ = RowWatch::start({loop_.get(), store_, log_}, "t", milliseconds(1500), std::move(handlers));
     }
 
-    void take(const std::vector<Row> &rows)
+    void apply(const std::vector<Row> &rows)
     {
         for (const Row &row : rows) {
             if (row.isDeleted) {
@@ -78,12 +78,12 @@
     std::shared_ptr<RowWatch> watch_;
     std::map<std::string, std::string> known_;
     std::optional<TimePoint> confirmedAt_;
-    int allCalls_ = 0;
+    int snapshots_ = 0;
     bool reachable_ = true;
 };
 
-// Servers are ordered and leave: a change every 40 ms for two seconds, after a pause.
-TEST_F(RowWatchTest, ManyChangesAreToldInFewAnswersAndTheFirstAtOnce)
+// A change every 40 ms for two seconds after a pause, as when servers are ordered and leave.
+TEST_F(RowWatchTest, ManyChangesArriveInFewResponsesAndTheFirstAtOnce)
 {
     start();
     pass(milliseconds(2000));
@@ -100,7 +100,7 @@
     EXPECT_LE(store_->calls - before, 12U);
 }
 
-TEST_F(RowWatchTest, TellsTheTableThenItsChanges)
+TEST_F(RowWatchTest, DeliversASnapshotThenChanges)
 {
     put("a", "1");
     start();
@@ -109,7 +109,7 @@
     put("b", "2");
     pass(milliseconds(100));
     EXPECT_EQ(known_["b"], "2");
-    EXPECT_EQ(allCalls_, 1);
+    EXPECT_EQ(snapshots_, 1);
 }
 
 TEST_F(RowWatchTest, ReadsALongTableInPages)
@@ -123,22 +123,23 @@
     EXPECT_EQ(known_.size(), 10U);
 }
 
-TEST_F(RowWatchTest, ConfirmsTheTimeOfTheQuestionNotOfTheAnswer)
+TEST_F(RowWatchTest, ConfirmsTheTimeOfTheRequestNotOfTheResponse)
 {
     start();
     pass(milliseconds(100));
-    const TimePoint asked = *confirmedAt_;
+    const TimePoint sentAt = *confirmedAt_;
     pass(milliseconds(1000));
-    EXPECT_EQ(*confirmedAt_, asked) << "a held question proves nothing until it is answered";
+    EXPECT_EQ(*confirmedAt_, sentAt) << "a pending long poll confirms nothing until it is answered";
     pass(milliseconds(600));
-    EXPECT_EQ(*confirmedAt_, asked) << "the answer came now, but the question is as old as the first reading";
+    EXPECT_EQ(*confirmedAt_, sentAt) << "the response came now, but its request is as old as the snapshot";
     pass(milliseconds(1500));
-    EXPECT_GT(*confirmedAt_, asked);
+    EXPECT_GT(*confirmedAt_, sentAt);
     EXPECT_LE(*confirmedAt_, loop_->now() - milliseconds(1500));
 }
 
-// Guards against a manifest that counts as the newest because an answer held only the changes before it.
-TEST_F(RowWatchTest, AnAnswerWithAPartOfTheChangesConfirmsNothing)
+// Guards against an outdated manifest being confirmed as the latest because a response held only the changes before the next
+// one.
+TEST_F(RowWatchTest, AResponseWithOnlyAPartOfTheChangesConfirmsNothing)
 {
     start();
     pass(milliseconds(100));
@@ -150,19 +151,19 @@
     }
     const TimePoint changedAt = loop_->now();
     store_->faults.down = false;
-    bool isHonest = true;
+    bool isConsistent = true;
     for (int i = 0; i < 300; i++) {
         pass(milliseconds(1));
-        isHonest = isHonest && (known_.size() == 35 || confirmedAt_ <= changedAt);
+        isConsistent = isConsistent && (known_.size() == 35 || confirmedAt_ <= changedAt);
     }
-    EXPECT_TRUE(isHonest);
+    EXPECT_TRUE(isConsistent);
     pass(milliseconds(2000));
     EXPECT_EQ(known_.size(), 35U);
     EXPECT_GT(confirmedAt_, changedAt);
 }
 
-// Guards against a VM that goes on with a row that has changed, because delta left the change out and were believed.
-TEST_F(RowWatchTest, ReadsAnewWhenAnotherVmKnowsOtherRowsAtTheSameVersion)
+// Guards against a VM that keeps using an outdated row because a delta from another VM left its change out.
+TEST_F(RowWatchTest, ReloadsWhenAnotherVmHasDifferentRowsAtTheSameVersion)
 {
     put("a", "1");
     start();
@@ -176,7 +177,7 @@
             [](bool, StoreFailure) {
             }});
     pass(milliseconds(100));
-    // What this watch knows comes from others alone.
+    // From here on this watch gets changes from other VMs only.
     watch_->setPollCondition([] { return false; });
     pass(milliseconds(3000));
     put("a", "2");
@@ -189,20 +190,20 @@
     EXPECT_EQ(confirmedAt_, before);
     pass(milliseconds(200));
     EXPECT_EQ(known_["a"], "2");
-    EXPECT_EQ(allCalls_, 2);
+    EXPECT_EQ(snapshots_, 2);
     watch_->applyDelta(*other->delta(), loop_->now());
-    EXPECT_EQ(allCalls_, 2) << "both know the same";
-    // Where this watch is the one that is right the table is not read again and again.
+    EXPECT_EQ(snapshots_, 2) << "both have the same rows";
+    // If this watch is right and the other is wrong, the table is not reloaded over and over.
     delta = *other->delta();
     *delta.digest += 1;
     for (int i = 0; i < 10; i++) {
         watch_->applyDelta(delta, loop_->now());
         pass(milliseconds(100));
     }
-    EXPECT_EQ(allCalls_, 2);
+    EXPECT_EQ(snapshots_, 2);
 }
 
-TEST_F(RowWatchTest, ReadsAnewWhenHistoryIsLost)
+TEST_F(RowWatchTest, ReloadsWhenHistoryIsLost)
 {
     put("a", "1");
     start();
@@ -214,12 +215,12 @@
     rows_->transact({removal});
     rows_->compact();
     pass(milliseconds(300));
-    EXPECT_EQ(allCalls_, 2);
+    EXPECT_EQ(snapshots_, 2);
     EXPECT_TRUE(known_.empty());
 }
 
-// The versions of the restored store pass the one that is known here before the next question.
-TEST_F(RowWatchTest, ChangesAreKnownAfterTheStoreWasRestoredAndHasCaughtUp)
+// The versions of the restored store pass the version known here before the next poll.
+TEST_F(RowWatchTest, ChangesAreKnownAfterTheStoreWasRestoredAndItsVersionsCaughtUp)
 {
     put("a", "1");
     put("b", "1");
@@ -241,7 +242,7 @@
     EXPECT_EQ(known_, expected);
 }
 
-TEST_F(RowWatchTest, SaysWhenTheStoreIsLostAndRegained)
+TEST_F(RowWatchTest, ReportsWhenTheStoreBecomesUnreachableAndReachable)
 {
     start();
     pass(milliseconds(100));
@@ -250,21 +251,21 @@
     EXPECT_FALSE(reachable_);
     const TimePoint before = *confirmedAt_;
     store_->faults.down = false;
-    // The first question after an outage does not wait at the store, so that freshness is known at once.
+    // The first poll after an outage does not wait at the store, so that the knowledge here is confirmed at once.
     pass(milliseconds(900));
     EXPECT_TRUE(reachable_);
     EXPECT_GT(*confirmedAt_, before);
 }
 
-// Keys that were taken away are judged by the age of what is known.
-TEST_F(RowWatchTest, NewsWithAGapProveNothingAndAreAskedFor)
+// Whether a revoked key may still be accepted depends on the age of what is known, so a delta with a gap must not reset it.
+TEST_F(RowWatchTest, ADeltaWithAGapConfirmsNothingAndTriggersAPoll)
 {
     put("a", "1");
     start();
-    bool mayAsk = true;
-    watch_->setPollCondition([&mayAsk] { return mayAsk; });
+    bool mayPoll = true;
+    watch_->setPollCondition([&mayPoll] { return mayPoll; });
     pass(milliseconds(2000));
-    mayAsk = false;
+    mayPoll = false;
     pass(milliseconds(2000));
     const auto calls = store_->calls;
     const auto version = watch_->version();
@@ -273,7 +274,7 @@
     delta.version = {version.era, version.number + 10};
     delta.since = delta.version;
     delta.changedAt = version.number;
-    EXPECT_TRUE(watch_->hasGap(delta)) << "whatever the sender thinks of changes between";
+    EXPECT_TRUE(watch_->hasGap(delta)) << "whatever the delta says of the last change";
     watch_->applyDelta(delta, loop_->now());
     EXPECT_EQ(watch_->version(), version);
     EXPECT_EQ(watch_->confirmedAt(), confirmed);
@@ -281,7 +282,7 @@
     EXPECT_EQ(store_->calls, calls + 1);
 }
 
-TEST_F(RowWatchTest, SurvivesSilence)
+TEST_F(RowWatchTest, RecoversAfterAStoreThatDidNotAnswer)
 {
     start();
     pass(milliseconds(100));
