--- a/src/manifest/internal/manifestcache.cpp
+++ b/src/manifest/internal/manifestcache.cpp
@@ -30,13 +30,13 @@
     return UpdateOutcome::Activated;
 }
 
-void ManifestCache::confirm(TimePoint askedAt)
+void ManifestCache::confirm(TimePoint sentAt)
 {
-    const std::uint64_t inForce = current_ ? current_->manifest().version : 0;
-    if (inForce < newestPeerVersion_ || isNewestUnreadable_) {
+    const std::uint64_t activeVersion = current_ ? current_->manifest().version : 0;
+    if (activeVersion < newestPeerVersion_ || isNewestUnreadable_) {
         return;
     }
-    confirmedAt_ = confirmedAt_ ? std::max(*confirmedAt_, askedAt) : askedAt;
+    confirmedAt_ = confirmedAt_ ? std::max(*confirmedAt_, sentAt) : sentAt;
 }
 
 void ManifestCache::noteUnreadable()
@@ -59,8 +59,8 @@
 
 bool ManifestCache::isFresh(TimePoint now, Duration bound) const
 {
-    const auto known = age(now);
-    return known && *known <= bound;
+    const auto currentAge = age(now);
+    return currentAge && *currentAge <= bound;
 }
 
 void ManifestCache::onChange(std::function<void(const ManifestPtr &manifest)> handler)
--- a/src/manifest/internal/manifestindex.cpp
+++ b/src/manifest/internal/manifestindex.cpp
@@ -44,7 +44,7 @@
     std::string key = lowerHost(host);
     const std::size_t hostSize = key.size();
     key += target.substr(0, target.find_first_of("?#"));
-    // Prefixes end with a slash, so only cuts behind a slash can match; the longest comes first.
+    // Prefixes end with a slash, so only substrings up to a slash can match. The longest one is tried first.
     while (key.size() > hostSize) {
         const auto slash = key.rfind('/');
         if (slash == std::string::npos || slash < hostSize) {
--- a/src/manifest/manifestcache.h
+++ b/src/manifest/manifestcache.h
@@ -8,37 +8,37 @@
 
 namespace cardamomlift::manifest {
 
-/// What becomes of a manifest that was offered.
+/// What update() did with a manifest.
 enum class UpdateOutcome {
     Activated,
-    AlreadyActive, ///< The version in force already.
-    Outdated, ///< An older version than the one in force; ignored.
+    AlreadyActive, ///< This version was active already.
+    Outdated, ///< A newer version is active; ignored.
 };
 
-/// The newest manifest that this process knows, and how fresh that knowledge is.
+/// Holds the latest manifest that this process knows, and since when it has not been confirmed as the latest.
 class ManifestCache
 {
 public:
     static std::shared_ptr<ManifestCache> create();
 
-    /// The manifest in force; null before the first.
+    /// The active manifest; null before the first.
     ManifestPtr current() const;
-    /// Puts @p manifest in force unless a newer one is.
+    /// Activates @p manifest unless the active one is as new or newer.
     UpdateOutcome update(Manifest manifest);
-    /// The store has shown that at some time at or after @p askedAt no newer version than the one in force existed.
-    /// NOTE The time at which the question was sent, not that of the answer: an answer may have waited on its way.
-    void confirm(TimePoint askedAt);
-    /// Another VM has @p version in force. While the one here is older nothing confirms it: the store may have been restored
-    /// from a copy that lacks the newer one.
+    /// Records that the store had no newer version than the active one at some time at or after @p sentAt.
+    /// NOTE The time at which the request was sent, not that of the response, which may have been delayed on its way.
+    void confirm(TimePoint sentAt);
+    /// Records that @p version is active at another VM. While the version here is older, confirm() has no effect: the store may
+    /// have been restored from a copy that lacks the newer version.
     void notePeerVersion(std::uint64_t version);
-    /// The store holds a manifest that can't be read here. Until a readable one comes nothing confirms the one in force: a key
-    /// may have been taken away.
+    /// Records that the store holds a manifest that this process can't read. Until a readable one comes, confirm() has no
+    /// effect: the unreadable one may have revoked a key.
     void noteUnreadable();
-    /// Time since the manifest in force was certainly the newest one; empty if it never was.
+    /// Time since the active manifest was last known to be the latest; empty if it never was.
     std::optional<Duration> age(TimePoint now) const;
-    /// True if keys may be judged at @p now: what is known is younger than @p bound.
+    /// True if age() is at most @p bound, so that API keys may be checked against the active manifest.
     bool isFresh(TimePoint now, Duration bound) const;
-    /// @p handler is called after each change of the manifest in force.
+    /// Calls @p handler after each change of the active manifest.
     void onChange(std::function<void(const ManifestPtr &manifest)> handler);
 
 private:
--- a/src/manifest/manifestmodule.cpp
+++ b/src/manifest/manifestmodule.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-/// -1: nothing was ever confirmed.
+/// Age of the active manifest for the metric; -1 if it was never confirmed.
 double ageSeconds(const ManifestCache &cache, TimePoint now)
 {
     const auto age = cache.age(now);
--- a/src/manifest/tests/manifest_test.cpp
+++ b/src/manifest/tests/manifest_test.cpp
@@ -30,7 +30,7 @@
     return route ? route->name : "none";
 }
 
-TEST(ManifestIndex, TakesTheLongestPrefixOfTheHost)
+TEST(ManifestIndex, PrefersTheLongestPrefixOfTheHost)
 {
     Manifest manifest;
     manifest.routes = {
@@ -46,7 +46,7 @@
     EXPECT_EQ(nameOf(index->route("a.example", "")), "none");
 }
 
-TEST(ManifestIndex, FindsTheHolderOfAKey)
+TEST(ManifestIndex, FindsTheCustomerOfAKey)
 {
     Manifest manifest;
     manifest.customers.resize(2);
@@ -80,7 +80,7 @@
     EXPECT_EQ(held->manifest().version, 1U);
 }
 
-TEST(ManifestCache, IsFreshOnlyWithinTheBoundOfItsLastProof)
+TEST(ManifestCache, IsFreshOnlyWithinTheBoundOfItsLastConfirmation)
 {
     const auto cache = ManifestCache::create();
     const TimePoint start(std::chrono::hours(1));
@@ -89,10 +89,11 @@
     EXPECT_TRUE(cache->isFresh(start + milliseconds(5000), milliseconds(5000)));
     EXPECT_FALSE(cache->isFresh(start + milliseconds(5001), milliseconds(5000)));
     cache->confirm(start - milliseconds(100));
-    EXPECT_EQ(*cache->age(start), Duration(0)) << "a late proof of an earlier time takes nothing back";
+    EXPECT_EQ(*cache->age(start), Duration(0)) << "a late confirmation of an earlier time changes nothing";
 }
 
-// A store that was restored from a copy without the newest manifest would prove that keys taken away by it are valid.
+// Guards against a store that was restored from a copy without the latest manifest: it would confirm the one before as the
+// latest, and with it keys that the latest one revoked.
 TEST(ManifestCache, IsNotConfirmedWhileAnotherVmHasANewerOne)
 {
     const auto cache = ManifestCache::create();
@@ -107,10 +108,10 @@
     EXPECT_EQ(*cache->age(start + milliseconds(4000)), Duration(0));
     cache->notePeerVersion(5);
     cache->confirm(start + milliseconds(5000));
-    EXPECT_EQ(*cache->age(start + milliseconds(5000)), Duration(0)) << "a VM that is behind says nothing";
+    EXPECT_EQ(*cache->age(start + milliseconds(5000)), Duration(0)) << "a VM with an older version does not prevent it";
 }
 
-// Guards against keys that a manifest took away being proved valid by the one before it.
+// Guards against keys being accepted by an old manifest that a newer but unreadable one may have revoked.
 TEST(ManifestCache, IsNotConfirmedWhileTheNewestCanNotBeRead)
 {
     const auto cache = ManifestCache::create();
