--- a/src/duties/internal/autoscaler.cpp
+++ b/src/duties/internal/autoscaler.cpp
@@ -115,7 +115,7 @@
 FleetLoad Autoscaler::fleetLoad(const std::string &service) const
 {
     std::vector<presence::ServiceLoad> loads = tools_.ownLoads();
-    for (const presence::Peer *peer : tools_.presence->heardLately(LoadReportLifetime)) {
+    for (const presence::Peer *peer : tools_.presence->recentlyHeard(LoadReportLifetime)) {
         loads.insert(loads.end(), peer->status->services.begin(), peer->status->services.end());
     }
     return sumLoads(loads, presence::nameHash(service));
--- a/src/duties/internal/leaderlease.cpp
+++ b/src/duties/internal/leaderlease.cpp
@@ -47,10 +47,10 @@
     std::shared_ptr<LeaderLease> lease(new LeaderLease(std::move(tools)));
     LeaderLease *raw = lease.get();
     raw->timer_ = raw->tools_.loop->every(TickPeriod, [raw] { raw->tick(); });
-    raw->tools_.presence->contribute([weak = std::weak_ptr<LeaderLease>(lease)](presence::Status &status) {
+    raw->tools_.presence->addStatusContributor([weak = std::weak_ptr<LeaderLease>(lease)](presence::Status &status) {
         const auto self = weak.lock();
         status.holdsLease = self && self->holds_ && !self->isShuttingDown_;
-        status.lacksStore = self && self->lacksStore_;
+        status.isStoreUnavailable = self && self->lacksStore_;
     });
     raw->tools_.store->eras().onRestored([weak = std::weak_ptr<LeaderLease>(lease)] {
         if (const auto self = weak.lock()) {
@@ -85,11 +85,11 @@
 // received the usage counts of VMs that ended meanwhile, which a process that has just started has not.
 bool LeaderLease::isPreferredCandidate() const
 {
-    const auto heard = tools_.presence->heardLately(std::max(HeardWithin, tools_.presence->period() * 2));
+    const auto heard = tools_.presence->recentlyHeard(std::max(HeardWithin, tools_.presence->period() * 2));
     return std::none_of(heard.begin(), heard.end(), [this](const presence::Peer *peer) {
         const presence::Status &status = *peer->status;
-        const bool isCandidate = !status.isDraining && !status.lacksStore;
-        return status.holdsLease || (isCandidate && tools_.presence->upFor(*peer) > tools_.presence->upFor());
+        const bool isCandidate = !status.isDraining && !status.isStoreUnavailable;
+        return status.holdsLease || (isCandidate && tools_.presence->uptime(*peer) > tools_.presence->uptime());
     });
 }
 
@@ -118,7 +118,7 @@
         return;
     }
     const bool mayHavePeers = tools_.presence->vmCount() != std::optional<std::size_t>(1);
-    if (mayHavePeers && tools_.presence->upFor() < ListenAtStart) {
+    if (mayHavePeers && tools_.presence->uptime() < ListenAtStart) {
         return;
     }
     if (!isPreferredCandidate()) {
--- a/src/forwarding/internal/serverpool.cpp
+++ b/src/forwarding/internal/serverpool.cpp
@@ -6,12 +6,12 @@
 
 namespace {
 
-/// Sent bytes that a server does not acknowledge within this end the channel: a few round trips of a loaded link, and less
-/// than a caller of the shortest route waits.
+/// A channel is closed if the server does not acknowledge sent bytes within this time: a few round trips of a loaded link,
+/// and less than the shortest route's time limit.
 constexpr Duration UnackedTimeout = std::chrono::milliseconds(1000);
-/// A silent channel is probed after this; with two probes a dead server is known within three seconds.
-constexpr Duration ProbeAfter = std::chrono::seconds(1);
-/// Bounds of a server's answer: a plain one is held whole.
+/// Idle time before the first TCP keep-alive probe; with two probes a dead server is detected within three seconds.
+constexpr Duration KeepAliveIdle = std::chrono::seconds(1);
+/// Limits on the size of a server's answer; an answer that is not a stream is buffered whole.
 constexpr http1::ReadLimits AnswerLimits{65536, 16u << 20};
 
 } // namespace
@@ -27,7 +27,7 @@
     return std::shared_ptr<ServerPool>(new ServerPool(loop, std::move(directory)));
 }
 
-std::shared_ptr<http1::BackendChannel> ServerPool::take(const directory::BackendServer &server)
+std::shared_ptr<http1::BackendChannel> ServerPool::acquire(const directory::BackendServer &server)
 {
     ServerEntry &entry = entries_[server.instance];
     while (!entry.idle.empty()) {
@@ -43,11 +43,11 @@
     entry.channels++;
     http1::SocketOptions options;
     options.unackedTimeout = UnackedTimeout;
-    options.keepAlive = ProbeAfter;
+    options.keepAlive = KeepAliveIdle;
     return http1::BackendChannel::connect(loop_, server.endpoint, options, AnswerLimits);
 }
 
-void ServerPool::giveBack(const std::string &instance, std::shared_ptr<http1::BackendChannel> channel)
+void ServerPool::release(const std::string &instance, std::shared_ptr<http1::BackendChannel> channel)
 {
     const auto found = entries_.find(instance);
     if (found == entries_.end() || !channel->isReusable()) {
@@ -57,13 +57,13 @@
     http1::BackendChannel *raw = channel.get();
     channel->onIdleEnd([this, instance, raw] {
         ServerEntry &entry = entries_[instance];
-        const auto place = std::find_if(entry.idle.begin(), entry.idle.end(), [raw](const auto &idle) { return idle.get() == raw; });
-        if (place == entry.idle.end()) {
+        const auto position = std::find_if(entry.idle.begin(), entry.idle.end(), [raw](const auto &idle) { return idle.get() == raw; });
+        if (position == entry.idle.end()) {
             return;
         }
-        // Freed by the loop: the channel is in the middle of telling us.
-        loop_.post([dying = std::move(*place)] {});
-        entry.idle.erase(place);
+        // The channel is freed by the event loop, because it is itself the caller of this handler.
+        loop_.post([released = std::move(*position)] {});
+        entry.idle.erase(position);
         entry.channels--;
     });
     found->second.idle.push_back(std::move(channel));
@@ -76,7 +76,7 @@
     if (found != entries_.end() && found->second.channels > 0) {
         found->second.channels--;
     }
-    loop_.post([dying = std::move(channel)] {});
+    loop_.post([released = std::move(channel)] {});
 }
 
 balancing::ServerLoad &ServerPool::load(const std::string &instance)
@@ -90,18 +90,18 @@
     return found == entries_.end() ? nullptr : &found->second;
 }
 
-void ServerPool::noteSent(const std::string &instance, std::int64_t promptTokens)
+void ServerPool::noteSent(const std::string &instance, std::int64_t prefillTokens)
 {
     balancing::ServerLoad &load = entries_[instance].load;
     load.localOpenRequests++;
     load.sentSinceReport++;
-    load.localWaitingTokens += promptTokens;
+    load.localWaitingTokens += prefillTokens;
 }
 
-void ServerPool::noteFirstByte(const std::string &instance, std::int64_t promptTokens)
+void ServerPool::noteFirstByte(const std::string &instance, std::int64_t prefillTokens)
 {
     balancing::ServerLoad &load = entries_[instance].load;
-    load.localWaitingTokens = std::max<std::int64_t>(0, load.localWaitingTokens - promptTokens);
+    load.localWaitingTokens = std::max<std::int64_t>(0, load.localWaitingTokens - prefillTokens);
 }
 
 void ServerPool::noteEnded(const std::string &instance)
@@ -111,7 +111,7 @@
     load.sentSinceReport--;
 }
 
-void ServerPool::noteReport(const std::string &instance, const LoadReport &report)
+void ServerPool::noteLoadReport(const std::string &instance, const LoadReport &report)
 {
     balancing::ServerLoad &load = entries_[instance].load;
     load.reportedRequests = report.running + report.waiting;
@@ -119,15 +119,15 @@
     load.reportedAt = loop_.now();
 }
 
-void ServerPool::noteHeard(const std::string &instance)
+void ServerPool::noteActivity(const std::string &instance)
 {
-    entries_[instance].heardAt = loop_.now();
+    entries_[instance].lastActivityAt = loop_.now();
 }
 
-std::optional<TimePoint> ServerPool::heardAt(const std::string &instance) const
+std::optional<TimePoint> ServerPool::lastActivityAt(const std::string &instance) const
 {
     const ServerEntry *entry = find(instance);
-    return entry ? entry->heardAt : std::nullopt;
+    return entry ? entry->lastActivityAt : std::nullopt;
 }
 
 std::size_t ServerPool::openChannels() const
@@ -139,7 +139,7 @@
     return sum;
 }
 
-std::vector<presence::ServerWork> ServerPool::waitingWork() const
+std::vector<presence::ServerWork> ServerPool::waitingTokens() const
 {
     std::vector<presence::ServerWork> works;
     for (const auto &[instance, entry] : entries_) {
