--- a/src/presence/datagramsocket.h
+++ b/src/presence/datagramsocket.h
@@ -10,17 +10,18 @@
 
 namespace cardamomlift::presence {
 
-/// Sends and takes datagrams between entry VMs. Any of them may be lost, doubled or late.
+/// Sends and receives datagrams between entry VMs. Datagrams may be lost, duplicated, delayed or reordered.
 class DatagramSocket
 {
 public:
     using Handler = std::function<void(std::string_view bytes)>;
     virtual ~DatagramSocket() = default;
     virtual void send(const http1::Endpoint &to, std::string_view bytes) = 0;
+    /// Sets the handler of received datagrams and starts to receive.
     virtual void onDatagram(Handler handler) = 0;
 };
 
-/// UDP on one port.
+/// A UDP socket (IPv4).
 class UdpDatagramSocket : public DatagramSocket
 {
 public:
--- a/src/presence/grouppeerselector.h
+++ b/src/presence/grouppeerselector.h
@@ -9,23 +9,26 @@
 
 namespace cardamomlift::presence {
 
-/// Which VMs of other groups this VM asks for the sums of their groups, by who has answered lately.
+/// Selects the VMs of other groups to which this VM sends summary requests, by which of them have answered recently.
 class GroupPeerSelector
 {
 public:
-    /// The VMs to ask now among @p members of one group, which are in the order of their rank; they count as asked. It is the
-    /// first one; where that has not answered its last question, the next two beside it.
+    /// The VMs to send a request to now, among @p members of one group in the order of their rank; the request is recorded for
+    /// each of them. This is the first member. If its last request is unanswered, members after it follow until there are two
+    /// without an unanswered request. Members that have not answered several requests are skipped for a while.
     std::vector<std::string> select(std::span<const std::string> members, TimePoint now);
-    /// The one that answered last among the first of @p members; the first if none is in doubt; empty if there are none.
+    /// The first of @p members that has at most one unanswered request; the first member if there is none; empty if there are
+    /// no members.
     std::string reachableMember(std::span<const std::string> members) const;
+    /// Called when a datagram has come from @p instance.
     void recordAnswer(const std::string &instance);
 
 private:
-    struct Question {
-        int unanswered = 0; ///< In a row.
-        TimePoint askedAt;
+    struct RequestRecord {
+        int unanswered = 0; ///< Requests in a row without an answer.
+        TimePoint sentAt;
     };
-    std::map<std::string, Question> questions_; ///< By VM.
+    std::map<std::string, RequestRecord> requests_; ///< By VM.
 };
 
 } // namespace cardamomlift::presence
--- a/src/presence/internal/datagramsocket.cpp
+++ b/src/presence/internal/datagramsocket.cpp
@@ -11,8 +11,8 @@
 
 namespace {
 
-constexpr std::size_t LongestDatagram = 65536;
-/// Datagrams read before other sockets get their turn.
+constexpr std::size_t MaxDatagramSize = 65536;
+/// Datagrams read at once before control returns to the event loop, so that other sockets are served too.
 constexpr int ReadBatch = 64;
 
 } // namespace
@@ -23,9 +23,9 @@
     ev_io watcher{};
     Handler handler;
 
-    void readAll() const
+    void readPending() const
     {
-        static thread_local std::array<char, LongestDatagram> buffer;
+        static thread_local std::array<char, MaxDatagramSize> buffer;
         for (int i = 0; i < ReadBatch; i++) {
             const ssize_t size = ::recv(descriptor, buffer.data(), buffer.size(), 0);
             if (size < 0) {
@@ -43,8 +43,8 @@
 
 Result<std::shared_ptr<UdpDatagramSocket>> UdpDatagramSocket::open(EventLoop &loop, const http1::Endpoint &at)
 {
-    std::shared_ptr<UdpDatagramSocket> datagrams(new UdpDatagramSocket);
-    Impl *impl = datagrams->impl_.get();
+    std::shared_ptr<UdpDatagramSocket> socket(new UdpDatagramSocket);
+    Impl *impl = socket->impl_.get();
     impl->loop = &loop;
     impl->descriptor = ::socket(AF_INET, SOCK_DGRAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
     sockaddr_in address{};
@@ -52,12 +52,12 @@
     address.sin_port = htons(at.port);
     inet_pton(AF_INET, at.address.c_str(), &address.sin_addr);
     if (::bind(impl->descriptor, reinterpret_cast<const sockaddr *>(&address), sizeof address) != 0) {
-        return failure(ErrorKind::Unavailable, "can't take datagrams on " + http1::formatEndpoint(at));
+        return failure(ErrorKind::Unavailable, "can't bind the UDP socket for peer statuses to " + http1::formatEndpoint(at));
     }
     impl->watcher.data = impl;
     ev_io_init(
-        &impl->watcher, [](struct ev_loop *, ev_io *watcher, int) { static_cast<Impl *>(watcher->data)->readAll(); }, impl->descriptor, EV_READ);
-    return datagrams;
+        &impl->watcher, [](struct ev_loop *, ev_io *watcher, int) { static_cast<Impl *>(watcher->data)->readPending(); }, impl->descriptor, EV_READ);
+    return socket;
 }
 
 UdpDatagramSocket::~UdpDatagramSocket()
@@ -74,7 +74,7 @@
     address.sin_family = AF_INET;
     address.sin_port = htons(to.port);
     inet_pton(AF_INET, to.address.c_str(), &address.sin_addr);
-    // A datagram that the system does not take is lost like any other.
+    // A failed send counts as a lost datagram.
     (void)::sendto(impl_->descriptor, bytes.data(), bytes.size(), MSG_NOSIGNAL, reinterpret_cast<const sockaddr *>(&address), sizeof address);
 }
 
--- a/src/presence/internal/grouppeerselector.cpp
+++ b/src/presence/internal/grouppeerselector.cpp
@@ -4,43 +4,44 @@
 
 namespace {
 
-/// A VM that left so many questions without an answer is taken for gone: one or two are lost now and then.
-constexpr int MostUnanswered = 3;
-/// It is asked once more after this long: it may have been cut off.
-constexpr Duration AskAgainAfter = std::chrono::seconds(5);
-/// Where one has not answered, so many others are asked beside it: where a failure domain has ended, most are silent.
-constexpr int AskedBeside = 2;
+/// A VM with this many unanswered requests in a row is taken for dead. One or two datagrams in a row are lost now and then.
+constexpr int MaxUnanswered = 3;
+/// Such a VM is sent a request again after this time: it may only have been cut off from the network.
+constexpr Duration RetryAfter = std::chrono::seconds(5);
+/// Number of responsive members that are selected in addition to one with an unanswered request: when a failure domain fails,
+/// most members of a group are silent.
+constexpr int AdditionalRequests = 2;
 
 } // namespace
 
 std::vector<std::string> GroupPeerSelector::select(std::span<const std::string> members, TimePoint now)
 {
-    std::vector<std::string> asked;
+    std::vector<std::string> selected;
     int wanted = 1;
     for (const std::string &member : members) {
-        Question &question = questions_[member];
-        if (question.unanswered >= MostUnanswered && now - question.askedAt < AskAgainAfter) {
+        RequestRecord &request = requests_[member];
+        if (request.unanswered >= MaxUnanswered && now - request.sentAt < RetryAfter) {
             continue;
         }
-        const bool isInDoubt = question.unanswered > 0;
-        question.unanswered++;
-        question.askedAt = now;
-        asked.push_back(member);
-        if (isInDoubt) {
-            wanted = AskedBeside;
+        const bool hasUnanswered = request.unanswered > 0;
+        request.unanswered++;
+        request.sentAt = now;
+        selected.push_back(member);
+        if (hasUnanswered) {
+            wanted = AdditionalRequests;
         } else if (--wanted == 0) {
             break;
         }
     }
-    return asked;
+    return selected;
 }
 
 std::string GroupPeerSelector::reachableMember(std::span<const std::string> members) const
 {
     for (const std::string &member : members) {
-        const auto question = questions_.find(member);
-        // One question is on its way most of the time.
-        if (question == questions_.end() || question->second.unanswered <= 1) {
+        const auto request = requests_.find(member);
+        // One request is in flight most of the time.
+        if (request == requests_.end() || request->second.unanswered <= 1) {
             return member;
         }
     }
@@ -49,9 +50,9 @@
 
 void GroupPeerSelector::recordAnswer(const std::string &instance)
 {
-    const auto question = questions_.find(instance);
-    if (question != questions_.end()) {
-        question->second.unanswered = 0;
+    const auto request = requests_.find(instance);
+    if (request != requests_.end()) {
+        request->second.unanswered = 0;
     }
 }
 
--- a/src/presence/internal/presence.cpp
+++ b/src/presence/internal/presence.cpp
@@ -14,28 +14,29 @@
 using eventlog::Attribute;
 using eventlog::Event;
 
-constexpr char Table[] = "entry-vms";
-/// How long the store may hold the question for new rows. They come at once whatever this is; it bounds how long a
-/// connection that fell silent goes unnoticed, and each answer is paid for.
-constexpr Duration WatchWait = std::chrono::seconds(6);
-/// Statuses go out in rounds. Shares of an allowance, loads and the lease are judged by them: three in a second.
-constexpr Duration Round = std::chrono::milliseconds(350);
-/// With many VMs a peer hears less often, so that one VM sends some 130 datagrams a second at most. Up to 46 group mates and
-/// questions, as of 300 VMs in six zones, are told in each round: with twice the period, a customer that asks seven times its
-/// usual gets up to 0.06 more than its limit in a window (model of the allowances with 288 VMs).
-constexpr Duration PeriodPerPeer = std::chrono::microseconds(7500);
-/// Changes within this go out together.
+constexpr char TableName[] = "entry-vms";
+/// How long the store may hold a long poll for new rows. New rows are returned at once in any case. A longer wait costs fewer
+/// paid calls; a shorter one detects a dead connection sooner.
+constexpr Duration LongPollWait = std::chrono::seconds(6);
+/// Statuses are sent in rounds, about three a second. Allowance shares, server loads and the leader lease depend on them.
+constexpr Duration RoundPeriod = std::chrono::milliseconds(350);
+/// With many VMs each peer is sent to less often, so that a VM sends at most about 130 datagrams a second. Up to 46 datagrams
+/// (statuses, summary requests and their answers), as for 300 VMs in six zones, still fit into one round: with twice the
+/// period, a customer that asks for seven times its usual rate gets up to 0.06 more than its limit in a window (allowance
+/// model with 288 VMs).
+constexpr Duration PeriodPerDatagram = std::chrono::microseconds(7500);
+/// Changes that arrive within this time are broadcast together.
 constexpr Duration BroadcastDelay = std::chrono::milliseconds(20);
-/// Sequences whose sending time is kept: some four seconds of them. An echo older than that proves nothing of use.
-constexpr std::size_t SentKept = 256;
-/// A group mate, or a group, that was silent this long is logged as lost.
+/// Number of sequences whose send time is kept: about four seconds of them. An older echo gives too early a bound to be useful.
+constexpr std::size_t SendTimesKept = 256;
+/// A peer of the same group, or another group, from which nothing was received for this long is logged as lost.
 constexpr Duration LostAfter = std::chrono::seconds(5);
-/// Leaves room above the first sequence, which is drawn at random.
+/// The first sequence is the random incarnation shifted right by this, which leaves room for the sequence to grow.
 constexpr unsigned SequenceShift = 8;
-constexpr Duration RowRetry = std::chrono::milliseconds(500);
+constexpr Duration RowRetryDelay = std::chrono::milliseconds(500);
 
-/// What is repeated more often than the rest.
-Status partialOf(const Status &status)
+/// The part of @p status that is sent more often than the full status.
+Status makePartial(const Status &status)
 {
     Status partial;
     partial.instance = status.instance;
@@ -53,7 +54,7 @@
     return partial;
 }
 
-std::string rowText(const PresenceTools &tools)
+std::string formatRow(const PresenceTools &tools)
 {
     Json::Value row;
     row["endpoint"] = http1::formatEndpoint(tools.endpoint);
@@ -66,7 +67,7 @@
 
 Presence::Presence(PresenceTools tools)
     : tools_(std::move(tools))
-    // NOTE Not from 0: an echo of what an earlier process of this VM has sent must prove nothing.
+    // NOTE Does not start at 0: an echo of a sequence of this VM's previous process must not match one of this process.
     , sequence_(tools_.incarnation >> SequenceShift)
     , startedAt_(tools_.loop->now())
 {
@@ -78,19 +79,19 @@
     Presence *raw = presence.get();
     raw->tools_.socket->onDatagram([raw](std::string_view bytes) { raw->onDatagram(bytes); });
     rows::WatchHandlers handlers;
-    handlers.onSnapshot = [raw](const rows::TableSnapshot &whole) {
-        raw->replaceRows(whole);
+    handlers.onSnapshot = [raw](const rows::TableSnapshot &snapshot) {
+        raw->applySnapshot(snapshot);
     };
     handlers.onChanges = [raw](const std::vector<rows::Row> &rows) {
-        raw->takeRows(rows);
+        raw->applyRows(rows);
     };
     handlers.onConfirmed = [](TimePoint) {
     };
     handlers.onReachabilityChanged = [](bool, rows::StoreFailure) {
     };
-    raw->watch_ = rows::RowWatch::start({raw->tools_.loop, raw->tools_.store, raw->tools_.log}, Table, WatchWait, std::move(handlers));
+    raw->watch_ = rows::RowWatch::start({raw->tools_.loop, raw->tools_.store, raw->tools_.log}, TableName, LongPollWait, std::move(handlers));
     raw->writeRow();
-    raw->sendSoon();
+    raw->scheduleRound();
     return presence;
 }
 
@@ -103,15 +104,15 @@
 void Presence::writeRow()
 {
     rows::RowWrite write;
-    write.table = Table;
+    write.table = TableName;
     write.key = tools_.instance;
-    write.value = rowText(tools_);
+    write.value = formatRow(tools_);
     tools_.store->write({write}, [weak = weak_from_this()](const rows::WriteResult &result) {
         const auto self = weak.lock();
         if (!self || result.outcome == rows::WriteOutcome::Written) {
             return;
         }
-        self->tools_.loop->after(RowRetry, [weak] {
+        self->tools_.loop->after(RowRetryDelay, [weak] {
             if (const auto again = weak.lock()) {
                 again->writeRow();
             }
@@ -119,32 +120,33 @@
     });
 }
 
-void Presence::takeRows(const std::vector<rows::Row> &rows)
+void Presence::applyRows(const std::vector<rows::Row> &rows)
 {
     for (const rows::Row &row : rows) {
-        takeRow(row);
+        applyRow(row);
     }
     regroup();
 }
 
-// What the VMs have told stays: with a lost history of the store nothing has become of them.
-void Presence::replaceRows(const rows::TableSnapshot &whole)
+// Statuses already received are kept: the table is also read whole when the store has dropped its change history, which says
+// nothing about the VMs themselves.
+void Presence::applySnapshot(const rows::TableSnapshot &snapshot)
 {
     std::map<std::string_view, std::string_view> listed;
-    for (const rows::Row &row : whole.rows) {
+    for (const rows::Row &row : snapshot.rows) {
         listed[row.key] = row.value;
     }
-    // VMs that an older copy of the store lacks write their rows again.
-    if (whole.reason != rows::ReadReason::StoreRestored) {
+    // After a restore the store may lack rows of running VMs. These VMs write their rows again, so they are kept.
+    if (snapshot.reason != rows::ReadReason::StoreRestored) {
         std::erase_if(peers_, [&listed](const auto &entry) { return !listed.contains(entry.first); });
     }
-    if (whole.reason != rows::ReadReason::First && listed[tools_.instance] != rowText(tools_)) {
+    if (snapshot.reason != rows::ReadReason::First && listed[tools_.instance] != formatRow(tools_)) {
         writeRow();
     }
-    takeRows(whole.rows);
+    applyRows(snapshot.rows);
 }
 
-void Presence::takeRow(const rows::Row &row)
+void Presence::applyRow(const rows::Row &row)
 {
     if (row.key == tools_.instance) {
         ownRowSeen_ = true;
@@ -157,7 +159,7 @@
     const auto json = http::parseJson(row.value);
     const auto endpoint = json && json->isObject() && (*json)["endpoint"].isString() ? http1::parseEndpoint((*json)["endpoint"].asString()) : std::nullopt;
     if (!endpoint) {
-        tools_.log->write(Event::PeerLost, {{Attribute::Server, row.key}, {Attribute::Reason, "its row can't be read"}});
+        tools_.log->write(Event::PeerLost, {{Attribute::Server, row.key}, {Attribute::Reason, "its row can't be parsed"}});
         return;
     }
     Peer &peer = peers_[row.key];
@@ -167,24 +169,24 @@
     peer.incarnation = (*json)["incarnation"].isUInt64() ? (*json)["incarnation"].asUInt64() : 0;
 }
 
-// Rounds from one full status, or question, to the next to the same receiver.
-int Presence::fullRounds() const
+// Number of rounds between two full statuses, or two summary requests, to the same receiver.
+int Presence::roundsPerPeriod() const
 {
-    const Duration wanted = PeriodPerPeer * static_cast<std::int64_t>(contacts());
-    return std::max(1, static_cast<int>((wanted + Round - Duration(1)) / Round));
+    const Duration wanted = PeriodPerDatagram * static_cast<std::int64_t>(datagramsPerPeriod());
+    return std::max(1, static_cast<int>((wanted + RoundPeriod - Duration(1)) / RoundPeriod));
 }
 
 Duration Presence::period() const
 {
-    return Round * fullRounds();
+    return RoundPeriod * roundsPerPeriod();
 }
 
-void Presence::sendSoon()
+void Presence::scheduleRound()
 {
-    timer_ = tools_.loop->after(Round, [this] {
+    timer_ = tools_.loop->after(RoundPeriod, [this] {
         sendRound();
-        notePeers();
-        sendSoon();
+        logLivenessChanges();
+        scheduleRound();
     });
 }
 
@@ -195,7 +197,7 @@
     status.incarnation = tools_.incarnation;
     status.sequence = nextSequence();
     status.uptime = uptime();
-    for (const auto &fill : fillers_) {
+    for (const auto &fill : statusContributors_) {
         fill(status);
     }
     status.isStoreReader = isStoreReader_ && isStoreReader_();
@@ -204,63 +206,64 @@
 
 std::uint64_t Presence::nextSequence()
 {
-    sentAt_.push_back(tools_.loop->now());
-    if (sentAt_.size() > SentKept) {
-        sentAt_.pop_front();
+    sendTimes_.push_back(tools_.loop->now());
+    if (sendTimes_.size() > SendTimesKept) {
+        sendTimes_.pop_front();
     }
     return ++sequence_;
 }
 
-// Changes go only to those that have not heard of them.
-void Presence::sendTo(const Peer &peer, const Status &status, bool tellsChanges)
+// The delta of a table is included only if the receiver's last known version is older.
+void Presence::sendTo(const Peer &peer, const Status &status, bool includesDeltas)
 {
-    std::map<std::string, TableDelta> told;
-    if (tellsChanges) {
-        for (const auto &[table, news] : status.tables) {
-            if (auto changes = changesFor(peer, table, news)) {
-                told.emplace(table, std::move(*changes));
+    std::map<std::string, PackedDelta> deltas;
+    if (includesDeltas) {
+        for (const auto &[table, delta] : status.tables) {
+            if (auto packedDelta = packedDeltaFor(peer, table, delta)) {
+                deltas.emplace(table, std::move(*packedDelta));
             }
         }
     }
-    tools_.socket->send(peer.endpoint, encodeStatus(status, peer.status ? peer.status->sequence : 0, told));
+    tools_.socket->send(peer.endpoint, encodeStatus(status, peer.status ? peer.status->sequence : 0, deltas));
 }
 
-// Most peers lack the same changes, so they are packed once a round.
-std::optional<TableDelta> Presence::changesFor(const Peer &peer, const std::string &table, const rows::TableDelta &news)
+// Most peers lack the same changes, so each delta is packed once a round and reused.
+std::optional<PackedDelta> Presence::packedDeltaFor(const Peer &peer, const std::string &table, const rows::TableDelta &delta)
 {
     if (!peer.status) {
         return std::nullopt;
     }
     const auto known = peer.status->tables.find(table);
-    if (known == peer.status->tables.end() || known->second.version >= news.version) {
+    if (known == peer.status->tables.end() || known->second.version >= delta.version) {
         return std::nullopt;
     }
-    const rows::StoreVersion has = known->second.version;
-    const auto [place, isNew] = packed_.try_emplace({table, has, news.version});
+    const rows::StoreVersion knownVersion = known->second.version;
+    const auto [entry, isNew] = packedDeltas_.try_emplace({table, knownVersion, delta.version});
     if (isNew) {
-        place->second = deltaSince(news, has);
+        entry->second = packDeltaSince(delta, knownVersion);
     }
-    return place->second;
+    return entry->second;
 }
 
 void Presence::sendRound()
 {
-    packed_.clear();
-    own_ = makeStatus();
-    ownAt_ = tools_.loop->now();
+    packedDeltas_.clear();
+    ownStatus_ = makeStatus();
+    ownStatusAt_ = tools_.loop->now();
     summary_.reset();
     round_++;
-    const Status partial = partialOf(own_);
-    sendToGroup(own_, partial);
-    askGroups(partial);
-    tellHolder(own_, partial);
+    const Status partial = makePartial(ownStatus_);
+    sendToGroup(ownStatus_, partial);
+    requestSummaries(partial);
+    reportToLeaseHolder(ownStatus_, partial);
 }
 
-// A group mate hears a full status every few rounds; in the others only what keeps knowledge of the store fresh: from the
-// VMs that follow it, and to them, whose echo proves the age.
+// Each peer of the group gets a full status every few rounds. In the other rounds a partial status is sent only from store
+// readers, to keep the peers' tables up to date, and to store readers, whose echo of it bounds the age of the tables that
+// they send.
 void Presence::sendToGroup(const Status &full, const Status &partial)
 {
-    const int rounds = fullRounds();
+    const int rounds = roundsPerPeriod();
     int index = 0;
     for (const auto &[instance, peer] : peers_) {
         if (peer.group != group_) {
@@ -277,9 +280,9 @@
 
 void Presence::scheduleChangeBroadcast(BroadcastScope scope)
 {
-    const bool isPosted = pendingBroadcast_.has_value();
-    pendingBroadcast_ = isPosted ? std::max(*pendingBroadcast_, scope) : scope;
-    if (isPosted) {
+    const bool isScheduled = pendingBroadcast_.has_value();
+    pendingBroadcast_ = isScheduled ? std::max(*pendingBroadcast_, scope) : scope;
+    if (isScheduled) {
         return;
     }
     tools_.loop->after(BroadcastDelay, [weak = weak_from_this()] {
@@ -289,45 +292,46 @@
     });
 }
 
-// The VM of another group that hears it tells its group mates.
+// The receiver in another group broadcasts the changes within its own group.
 void Presence::broadcastChanges(BroadcastScope scope)
 {
-    packed_.clear();
-    const Status partial = partialOf(makeStatus());
+    packedDeltas_.clear();
+    const Status partial = makePartial(makeStatus());
     for (const auto &[instance, peer] : peers_) {
         if (peer.group == group_) {
             sendTo(peer, partial, true);
         }
     }
-    // A VM that does not follow the store may have read it all the same; then only its group may lack the change.
+    // A VM that is not a store reader may have read the store too; then only its own group may lack the change.
     if (scope == BroadcastScope::Group || !partial.isStoreReader) {
         return;
     }
-    std::vector<std::string> told;
-    for (const auto &[name, members] : members_) {
-        told.push_back(peerSelector_.reachableMember(members));
+    std::vector<std::string> receivers;
+    for (const auto &[name, members] : groupMembers_) {
+        receivers.push_back(peerSelector_.reachableMember(members));
     }
-    for (const std::string &instance : told) {
+    for (const std::string &instance : receivers) {
         if (const auto peer = peers_.find(instance); peer != peers_.end()) {
             sendTo(peer->second, partial, true);
         }
     }
 }
 
-// The sender had seen our status @p echo, so it sent its own after we sent that one, whatever the clocks say.
-std::optional<TimePoint> Presence::provenTime(std::uint64_t echo) const
+// The sender of a status had received this VM's status @p echo, so it sent its own after that one was sent. The bound is on
+// this VM's clock and needs no agreement with the sender's.
+std::optional<TimePoint> Presence::sendTimeLowerBound(std::uint64_t echo) const
 {
-    const std::uint64_t oldest = sequence_ - sentAt_.size() + 1;
+    const std::uint64_t oldest = sequence_ - sendTimes_.size() + 1;
     if (echo < oldest || echo > sequence_) {
         return std::nullopt;
     }
-    return sentAt_[echo - oldest];
+    return sendTimes_[echo - oldest];
 }
 
-void Presence::tellHandlers(const Status &status, std::optional<TimePoint> provenAt) const
+void Presence::notifyStatusHandlers(const Status &status, std::optional<TimePoint> sentNotBefore) const
 {
-    for (const auto &handler : handlers_) {
-        handler(status, provenAt);
+    for (const auto &handler : statusHandlers_) {
+        handler(status, sentNotBefore);
     }
 }
 
@@ -343,29 +347,31 @@
     }
     Peer &peer = found->second;
     const Status &status = message->status;
-    // What an earlier process of that VM has sent may still be on its way; the row names the newest one.
-    const bool isOther = status.incarnation != peer.incarnation;
-    const bool isOld = peer.status && peer.status->incarnation == status.incarnation && peer.status->sequence >= status.sequence;
-    if (isOther || isOld) {
+    // Datagrams of a previous process of that VM may still be in flight; the row holds the incarnation of the current one.
+    const bool isOtherProcess = status.incarnation != peer.incarnation;
+    const bool isOutdated = peer.status && peer.status->incarnation == status.incarnation && peer.status->sequence >= status.sequence;
+    if (isOtherProcess || isOutdated) {
         return;
     }
     peer.heardAt = tools_.loop->now();
     peerSelector_.recordAnswer(status.instance);
-    const auto provenAt = provenTime(message->echo);
+    const auto sentNotBefore = sendTimeLowerBound(message->echo);
     if (!status.summaryOf.empty()) {
-        takeSummary(peer, std::move(message->status), provenAt);
+        handleSummary(peer, std::move(message->status), sentNotBefore);
         return;
     }
-    // A VM of another group, which counts the VMs otherwise for now: its part is in the sums of its group.
+    // A VM of another group sends a full status only while it has another view of the group layout. Its share is already in
+    // the summary of its group, so it must not be counted again.
     if (peer.group != group_ && !status.isPartial) {
-        message->status = partialOf(status);
+        message->status = makePartial(status);
     }
-    const bool asks = status.requestsSummary;
-    // NOTE Handlers see what was sent: what a partial status lacks would count twice if it were merged first.
-    tellHandlers(message->status, provenAt);
+    const bool summaryRequested = status.requestsSummary;
+    // NOTE Handlers get the status as it was sent: after the merge, the fields that a partial status lacks would be counted
+    // twice.
+    notifyStatusHandlers(message->status, sentNotBefore);
     merge(peer, std::move(message->status));
-    if (asks && layout_.groupsPerZone > 0) {
-        answer(peer);
+    if (summaryRequested && layout_.groupsPerZone > 0) {
+        sendSummary(peer);
     }
 }
 
@@ -391,27 +397,27 @@
     isStoreReader_ = std::move(isStoreReader);
 }
 
-const std::shared_ptr<rows::RowWatch> &Presence::watch() const
+const std::shared_ptr<rows::RowWatch> &Presence::rowWatch() const
 {
     return watch_;
 }
 
-void Presence::notePeers()
+void Presence::logLivenessChanges()
 {
     for (const auto &[instance, peer] : peers_) {
         if (peer.group == group_) {
-            noteHeard(instance, peer);
+            logLivenessChange(instance, peer);
         }
     }
     for (const auto &[name, group] : groups_) {
-        noteHeard(name, group);
+        logLivenessChange(name, group);
     }
 }
 
-void Presence::noteHeard(const std::string &name, const Peer &peer)
+void Presence::logLivenessChange(const std::string &name, const Peer &peer)
 {
     const bool isSilent = !peer.heardAt || tools_.loop->now() - *peer.heardAt > LostAfter;
-    bool &wasSilent = silent_[name];
+    bool &wasSilent = loggedAsLost_[name];
     if (isSilent && !wasSilent && peer.heardAt) {
         tools_.log->write(Event::PeerLost, {{Attribute::Server, name}, {Attribute::Zone, peer.zone}});
         wasSilent = true;
@@ -423,17 +429,17 @@
 
 void Presence::addStatusContributor(std::function<void(Status &status)> fill)
 {
-    fillers_.push_back(std::move(fill));
+    statusContributors_.push_back(std::move(fill));
 }
 
-void Presence::onStatus(std::function<void(const Status &status, std::optional<TimePoint> provenAt)> handler)
+void Presence::onStatus(std::function<void(const Status &status, std::optional<TimePoint> sentNotBefore)> handler)
 {
-    handlers_.push_back(std::move(handler));
+    statusHandlers_.push_back(std::move(handler));
 }
 
 void Presence::onRegrouped(std::function<void()> handler)
 {
-    regrouped_.push_back(std::move(handler));
+    regroupHandlers_.push_back(std::move(handler));
 }
 
 const std::map<std::string, Peer> &Presence::peers() const
--- a/src/presence/internal/presencegroups.cpp
+++ b/src/presence/internal/presencegroups.cpp
@@ -9,17 +9,18 @@
 
 namespace {
 
-/// The holder of the duty lease in another group hears the counts of usage every few rounds, 1.4 s: a report waits for 3 s
-/// after its window, so that two of them may be lost.
-constexpr int RoundsPerHolder = 4;
-/// While a rollout is not over, 0.7 s: what a bad version did must be known to the holder within a fraction of the five
-/// seconds in which it is to be left.
-constexpr int RoundsPerHolderInRollout = 2;
-/// A holder that was not heard of for this long has likely ended, and its successor hears from all anew.
+/// The leader (the holder of the lease of src/duties) in another group is sent usage counts every 1.4 s. The usage report of a
+/// window is made 3 s after its end, so two of these datagrams may be lost.
+constexpr int RoundsPerReport = 4;
+/// During a rollout the counts are sent every 0.7 s: the leader must learn of the failures of a bad version in a fraction of the
+/// five seconds within which traffic must be moved off it.
+constexpr int RoundsPerReportInRollout = 2;
+/// A lease holder that no status has named for this long has probably ended. Its successor gets the counts from all VMs anew.
 constexpr Duration HolderHeardWithin = std::chrono::seconds(3);
-/// Group mates that were heard within this are in the summary. It covers the loss of three statuses in a row: each change of
-/// the members makes the sums incomparable with the last ones.
+/// A summary includes the peers of the group that were heard from within this time. It covers the loss of three statuses in a
+/// row: with each change of the set of members, the sums become incomparable with the previous ones.
 constexpr Duration MemberHeardWithin = std::chrono::seconds(3);
+
 } // namespace
 
 void Presence::regroup()
@@ -29,149 +30,151 @@
         zones.insert(peer.zone);
     }
     const GroupLayout layout = layoutFor(peers_.size() + 1, zones.size());
-    const bool isOther = layout != layout_;
+    const bool isNewLayout = layout != layout_;
     layout_ = layout;
     group_ = groupOf(layout_, tools_.instance, tools_.zone);
     groupPeerCount_ = 0;
-    members_.clear();
+    groupMembers_.clear();
     for (auto &[instance, peer] : peers_) {
         peer.group = groupOf(layout_, instance, peer.zone);
         if (peer.group == group_) {
             groupPeerCount_++;
             continue;
         }
-        members_[peer.group].push_back(instance);
-        if (isOther) {
-            // Its part is in the sums of its group from now on.
+        groupMembers_[peer.group].push_back(instance);
+        if (isNewLayout) {
+            // From now on its state is part of the summary of its group.
             peer.status.reset();
         }
     }
-    std::erase_if(groups_, [this](const auto &entry) { return !members_.contains(entry.first); });
-    for (auto &[name, members] : members_) {
+    std::erase_if(groups_, [this](const auto &entry) { return !groupMembers_.contains(entry.first); });
+    for (auto &[name, members] : groupMembers_) {
         std::sort(members.begin(), members.end(), [this](const std::string &a, const std::string &b) {
             return rendezvousRank(tools_.instance, a) > rendezvousRank(tools_.instance, b);
         });
-        const auto [place, isNew] = groups_.try_emplace(name);
+        const auto [entry, isNew] = groups_.try_emplace(name);
         if (isNew) {
-            place->second.group = name;
-            place->second.zone = peers_.at(members.front()).zone;
-            place->second.listedAt = tools_.loop->now();
+            entry->second.group = name;
+            entry->second.zone = peers_.at(members.front()).zone;
+            entry->second.listedAt = tools_.loop->now();
         }
     }
-    if (isOther) {
-        noteRegrouped();
+    if (isNewLayout) {
+        notifyRegrouped();
     }
 }
 
-void Presence::noteRegrouped() const
+void Presence::notifyRegrouped() const
 {
     tools_.log->write(eventlog::Event::PeersRegrouped,
         {{eventlog::Attribute::Server, group_},
             {eventlog::Attribute::Count, static_cast<std::int64_t>(groupPeerCount_)},
             {eventlog::Attribute::Present, static_cast<std::int64_t>(groups_.size())}});
-    for (const auto &handler : regrouped_) {
+    for (const auto &handler : regroupHandlers_) {
         handler();
     }
 }
 
-// A question to a group and the answer to one from it cost as much as two statuses.
-std::size_t Presence::contacts() const
+// Each other group costs two datagrams: the summary request sent to it, and the answer to a request that comes from it.
+std::size_t Presence::datagramsPerPeriod() const
 {
     return groupPeerCount_ + 2 * groups_.size();
 }
 
-void Presence::askGroups(const Status &partial)
+void Presence::requestSummaries(const Status &partial)
 {
-    Status question = partial;
-    question.requestsSummary = true;
-    const int rounds = fullRounds();
-    std::vector<std::string> asked;
+    Status request = partial;
+    request.requestsSummary = true;
+    const int rounds = roundsPerPeriod();
+    std::vector<std::string> targets;
     int index = 0;
-    for (const auto &[name, members] : members_) {
+    for (const auto &[name, members] : groupMembers_) {
         index++;
         if ((round_ + index) % rounds == 0) {
             const auto chosen = peerSelector_.select(members, tools_.loop->now());
-            asked.insert(asked.end(), chosen.begin(), chosen.end());
+            targets.insert(targets.end(), chosen.begin(), chosen.end());
         }
     }
-    // NOTE Only now: an answer may bring rows by which the VMs are divided anew.
-    for (const std::string &instance : asked) {
+    // NOTE Requests are sent after the loop: an answer that arrives within sendTo() may change groupMembers_, because new rows
+    // of entry VMs can change the group layout.
+    for (const std::string &instance : targets) {
         if (const auto peer = peers_.find(instance); peer != peers_.end()) {
-            sendTo(peer->second, question, partial.isStoreReader);
+            sendTo(peer->second, request, partial.isStoreReader);
         }
     }
 }
 
-// The holder of another group; one of this VM's group hears the counts in full statuses.
-void Presence::tellHolder(const Status &full, const Status &partial)
+// Only for a lease holder in another group; one in this VM's group gets the counts in full statuses.
+void Presence::reportToLeaseHolder(const Status &full, const Status &partial)
 {
-    const int rounds = full.rollouts.empty() ? RoundsPerHolder : RoundsPerHolderInRollout;
+    const int rounds = full.rollouts.empty() ? RoundsPerReport : RoundsPerReportInRollout;
     if ((round_ + nameHash(tools_.instance)) % rounds != 0) {
         return;
     }
     for (const Peer *group : recentlyHeard(HolderHeardWithin)) {
         const auto holder = peers_.find(group->status->leaseHolder);
         if (holder != peers_.end() && holder->second.group != group_) {
-            // NOTE Another sequence than a question's of this round, of which the holder takes only one.
-            Status told = partial;
-            told.sequence = nextSequence();
-            told.usage = full.usage;
-            told.rollouts = full.rollouts;
-            sendTo(holder->second, told, false);
+            // NOTE Needs a sequence of its own: a summary request of this round may go to the same VM, which drops the second
+            // of two datagrams with the same sequence.
+            Status update = partial;
+            update.sequence = nextSequence();
+            update.usage = full.usage;
+            update.rollouts = full.rollouts;
+            sendTo(holder->second, update, false);
         }
     }
 }
 
-Status Presence::summary() const
+Status Presence::makeSummary() const
 {
-    std::vector<MemberStatus> members{{&own_, tools_.loop->now() - ownAt_}};
+    std::vector<MemberStatus> members{{&ownStatus_, tools_.loop->now() - ownStatusAt_}};
     for (const auto &[instance, peer] : peers_) {
-        const bool isHeard = peer.heardAt && tools_.loop->now() - *peer.heardAt <= MemberHeardWithin;
-        if (peer.group == group_ && isHeard && peer.status && !peer.status->isPartial) {
+        const bool isRecent = peer.heardAt && tools_.loop->now() - *peer.heardAt <= MemberHeardWithin;
+        if (peer.group == group_ && isRecent && peer.status && !peer.status->isPartial) {
             members.push_back({&*peer.status, tools_.loop->now() - *peer.heardAt});
         }
     }
     Status summary = summarize(group_, members);
-    summary.instance = own_.instance;
-    summary.incarnation = own_.incarnation;
-    summary.tables = own_.tables;
-    summary.manifestVersion = own_.manifestVersion;
-    summary.sinceStoreOutage = own_.sinceStoreOutage;
+    summary.instance = ownStatus_.instance;
+    summary.incarnation = ownStatus_.incarnation;
+    summary.tables = ownStatus_.tables;
+    summary.manifestVersion = ownStatus_.manifestVersion;
+    summary.sinceStoreOutage = ownStatus_.sinceStoreOutage;
     return summary;
 }
 
-void Presence::answer(const Peer &peer)
+void Presence::sendSummary(const Peer &peer)
 {
     if (!summary_) {
-        summary_ = summary();
+        summary_ = makeSummary();
     }
-    Status told = *summary_;
-    told.sequence = nextSequence();
-    for (auto &[table, news] : told.tables) {
-        news.age += tools_.loop->now() - ownAt_;
+    Status reply = *summary_;
+    reply.sequence = nextSequence();
+    for (auto &[table, delta] : reply.tables) {
+        delta.age += tools_.loop->now() - ownStatusAt_;
     }
-    sendTo(peer, told, true);
+    sendTo(peer, reply, true);
 }
 
-// The tables and the sequence are those of the VM that answers, the rest is its group's.
-void Presence::takeSummary(Peer &peer, Status status, std::optional<TimePoint> provenAt)
+// The tables, the manifest version and the sequence are those of the VM that answers, the rest is the sum over its group.
+void Presence::handleSummary(Peer &peer, Status status, std::optional<TimePoint> sentNotBefore)
 {
-    Status teller;
-    teller.instance = status.instance;
-    teller.incarnation = status.incarnation;
-    teller.sequence = status.sequence;
-    teller.tables = status.tables;
-    teller.manifestVersion = status.manifestVersion;
-    teller.sinceStoreOutage = status.sinceStoreOutage;
-    teller.isPartial = true;
-    merge(peer, std::move(teller));
+    Status sender;
+    sender.instance = status.instance;
+    sender.incarnation = status.incarnation;
+    sender.sequence = status.sequence;
+    sender.tables = status.tables;
+    sender.manifestVersion = status.manifestVersion;
+    sender.sinceStoreOutage = status.sinceStoreOutage;
+    sender.isPartial = true;
+    merge(peer, std::move(sender));
     const auto group = groups_.find(status.summaryOf);
     if (group == groups_.end() || peer.group != group->first) {
         return;
     }
     status.instance = status.summaryOf;
     status.incarnation = status.membersHash;
-    tellHandlers(status, provenAt);
+    notifyStatusHandlers(status, sentNotBefore);
     group->second.heardAt = tools_.loop->now();
     group->second.status = std::move(status);
 }
--- a/src/presence/internal/statusformat.cpp
+++ b/src/presence/internal/statusformat.cpp
@@ -26,22 +26,22 @@
     return static_cast<std::uint32_t>(std::clamp<std::int64_t>(std::chrono::duration_cast<std::chrono::milliseconds>(duration).count(), 0, UINT32_MAX));
 }
 
-/// @p told: null if there is nothing to tell.
-void addTable(wire::Status &out, const std::string &table, const rows::TableDelta &news, const TableDelta *told)
+/// @p packedDelta: null if there is nothing to tell.
+void addTable(wire::Status &out, const std::string &table, const rows::TableDelta &delta, const PackedDelta *packedDelta)
 {
     auto *entry = out.add_tables();
     entry->set_table(table);
-    entry->set_era(news.version.era);
-    entry->set_version(news.version.number);
-    entry->set_age_us(micros(news.age));
-    entry->set_changed_at(news.changedAt);
-    // NOTE Without changes nothing is said of the time before: the receiver may lack some that are not told.
-    entry->set_since(news.version.number);
-    if (told != nullptr && told->version == news.version) {
-        entry->set_since(told->since.number);
-        entry->set_changes(told->packed);
-        if (told->digest) {
-            entry->set_digest(*told->digest);
+    entry->set_era(delta.version.era);
+    entry->set_version(delta.version.number);
+    entry->set_age_us(micros(delta.age));
+    entry->set_changed_at(delta.changedAt);
+    // NOTE Without changes nothing is said of the time before: the receiver may lack some that are not packedDelta.
+    entry->set_since(delta.version.number);
+    if (packedDelta != nullptr && packedDelta->version == delta.version) {
+        entry->set_since(packedDelta->since.number);
+        entry->set_changes(packedDelta->packed);
+        if (packedDelta->digest) {
+            entry->set_digest(*packedDelta->digest);
         }
     }
 }
@@ -49,23 +49,23 @@
 /// Empty if the changes can't be read.
 std::optional<rows::TableDelta> readTable(const wire::TableNews &entry)
 {
-    rows::TableDelta news;
-    news.version = {entry.era(), entry.version()};
-    news.since = {entry.era(), entry.since()};
-    news.age = Duration(entry.age_us());
-    news.changedAt = entry.changed_at();
+    rows::TableDelta delta;
+    delta.version = {entry.era(), entry.version()};
+    delta.since = {entry.era(), entry.since()};
+    delta.age = Duration(entry.age_us());
+    delta.changedAt = entry.changed_at();
     if (entry.has_digest()) {
-        news.digest = entry.digest();
+        delta.digest = entry.digest();
     }
     if (entry.changes().empty()) {
-        return news;
+        return delta;
     }
     auto changes = unpackChanges(entry.changes(), entry.era());
     if (!changes) {
         return std::nullopt;
     }
-    news.changes = std::move(*changes);
-    return news;
+    delta.changes = std::move(*changes);
+    return delta;
 }
 
 /// Empty if @p packed is no such text, or unpacks to more than MostUnpacked.
@@ -85,32 +85,32 @@
     }
 }
 
-void addRollout(wire::Status &out, const RolloutReport &news)
+void addRollout(wire::Status &out, const RolloutReport &report)
 {
     auto *entry = out.add_rollouts();
-    entry->set_service(news.service);
-    entry->set_order(news.order.number);
-    entry->set_order_era(news.order.era);
-    entry->set_open_at_others(news.openAtOthers);
-    for (const RolloutCounts &counts : news.counts) {
-        auto *told = entry->add_counts();
-        told->set_route(counts.route);
-        told->set_server(counts.server);
-        told->set_failed(counts.failed);
-        told->mutable_answered()->Assign(counts.answered.begin(), counts.answered.end());
+    entry->set_service(report.service);
+    entry->set_order(report.order.number);
+    entry->set_order_era(report.order.era);
+    entry->set_open_at_others(report.openAtOthers);
+    for (const RolloutCounts &counts : report.counts) {
+        auto *wireCounts = entry->add_counts();
+        wireCounts->set_route(counts.route);
+        wireCounts->set_server(counts.server);
+        wireCounts->set_failed(counts.failed);
+        wireCounts->mutable_answered()->Assign(counts.answered.begin(), counts.answered.end());
     }
 }
 
 RolloutReport readRollout(const wire::RolloutNews &entry)
 {
-    RolloutReport news;
-    news.service = entry.service();
-    news.order = {entry.order_era(), entry.order()};
-    news.openAtOthers = entry.open_at_others();
-    for (const auto &told : entry.counts()) {
-        news.counts.push_back({told.route(), told.server(), told.failed(), {told.answered().begin(), told.answered().end()}});
-    }
-    return news;
+    RolloutReport report;
+    report.service = entry.service();
+    report.order = {entry.order_era(), entry.order()};
+    report.openAtOthers = entry.open_at_others();
+    for (const auto &wireCounts : entry.counts()) {
+        report.counts.push_back({wireCounts.route(), wireCounts.server(), wireCounts.failed(), {wireCounts.answered().begin(), wireCounts.answered().end()}});
+    }
+    return report;
 }
 
 } // namespace
@@ -154,16 +154,16 @@
     return changes;
 }
 
-std::string encodeStatus(const Status &status, std::uint64_t echo, const std::map<std::string, TableDelta> &told)
+std::string encodeStatus(const Status &status, std::uint64_t echo, const std::map<std::string, PackedDelta> &deltas)
 {
     wire::Status out;
     out.set_instance(status.instance);
     out.set_incarnation(status.incarnation);
     out.set_sequence(status.sequence);
     out.set_echo(echo);
-    for (const auto &[table, news] : status.tables) {
-        const auto changes = told.find(table);
-        addTable(out, table, news, changes == told.end() ? nullptr : &changes->second);
+    for (const auto &[table, delta] : status.tables) {
+        const auto changes = deltas.find(table);
+        addTable(out, table, delta, changes == deltas.end() ? nullptr : &changes->second);
     }
     out.set_manifest_version(status.manifestVersion);
     if (status.sinceStoreOutage) {
@@ -224,8 +224,8 @@
     for (const std::uint64_t suspect : status.suspects) {
         out.add_suspects(suspect);
     }
-    for (const RolloutReport &news : status.rollouts) {
-        addRollout(out, news);
+    for (const RolloutReport &report : status.rollouts) {
+        addRollout(out, report);
     }
     out.set_holds_lease(status.holdsLease);
     out.set_lacks_store(status.isStoreUnavailable);
@@ -253,8 +253,8 @@
     status.incarnation = in.incarnation();
     status.sequence = in.sequence();
     for (const auto &entry : in.tables()) {
-        if (auto news = readTable(entry)) {
-            status.tables[entry.table()] = std::move(*news);
+        if (auto delta = readTable(entry)) {
+            status.tables[entry.table()] = std::move(*delta);
         }
     }
     status.manifestVersion = in.manifest_version();
--- a/src/presence/internal/tablerelay.cpp
+++ b/src/presence/internal/tablerelay.cpp
@@ -16,15 +16,15 @@
 constexpr Duration StoreReaderTimeout = std::chrono::milliseconds(1400);
 /// A VM that hears no follower asks the store itself when its knowledge is this old. A server that leaves may get work for
 /// two seconds after the store has said so; with the usual age the VMs knew too late when all followers had ended at once.
-constexpr Duration AskAfterAlone = std::chrono::milliseconds(900);
+constexpr Duration MaxAgeWithoutStoreReader = std::chrono::milliseconds(900);
 /// A change that others know is waited for so long: a VM that follows the store tells it in each of its rounds, until it is
 /// known, unless it is too large for a datagram.
-constexpr Duration WaitsForChange = std::chrono::milliseconds(450);
+constexpr Duration UndeliveredChangeWait = std::chrono::milliseconds(450);
 /// An outage that ended longer ago says nothing of the entries that are missing now.
-constexpr Duration OutageTold = std::chrono::seconds(4);
+constexpr Duration OutageReportedFor = std::chrono::seconds(4);
 
 /// A VM for which the store came back less than this ago, or is away, is left out of those that follow it.
-constexpr Duration OutageCounts = std::chrono::milliseconds(500);
+constexpr Duration RecentOutage = std::chrono::milliseconds(500);
 
 } // namespace
 
@@ -43,9 +43,9 @@
             self->fill(status);
         }
     });
-    relay->presence_->onStatus([weak](const Status &status, std::optional<TimePoint> provenAt) {
+    relay->presence_->onStatus([weak](const Status &status, std::optional<TimePoint> sentNotBefore) {
         if (const auto self = weak.lock()) {
-            self->takeStatus(status, provenAt);
+            self->handleStatus(status, sentNotBefore);
         }
     });
     relay->presence_->setStoreReaderCheck([weak] {
@@ -55,20 +55,20 @@
     return relay;
 }
 
-void TableRelay::add(std::shared_ptr<rows::RowWatch> watch, Duration askAfter)
+void TableRelay::add(std::shared_ptr<rows::RowWatch> watch, Duration maxAge)
 {
     const std::weak_ptr<rows::RowWatch> weakWatch = watch;
-    watch->setPollCondition([weak = weak_from_this(), weakWatch, askAfter] {
+    watch->setPollCondition([weak = weak_from_this(), weakWatch, maxAge] {
         const auto self = weak.lock();
         const auto own = weakWatch.lock();
         if (!self || !own) {
             return false;
         }
-        if (self->lacksChange(*own)) {
+        if (self->lacksUndeliveredChange(*own)) {
             return true;
         }
         const auto confirmed = own->confirmedAt();
-        const Duration bound = self->hearsStoreReader() ? askAfter : std::min(askAfter, AskAfterAlone);
+        const Duration bound = self->hearsStoreReader() ? maxAge : std::min(maxAge, MaxAgeWithoutStoreReader);
         return !confirmed || self->loop_.now() - *confirmed > bound || self->isStoreReader();
     });
     watch->onStoreChanges([weak = weak_from_this()] {
@@ -76,12 +76,12 @@
             self->presence_->scheduleChangeBroadcast(BroadcastScope::All);
         }
     });
-    watches_.push_back({std::move(watch), askAfter});
+    watches_.push_back({std::move(watch), maxAge});
 }
 
 void TableRelay::onOutage(std::function<void(TimePoint backAt)> handler)
 {
-    outage_ = std::move(handler);
+    outageHandler_ = std::move(handler);
 }
 
 bool TableRelay::hearsStoreReader() const
@@ -99,7 +99,7 @@
 {
     const TimePoint seenAt = std::max(peer.listedAt, peer.heardAt.value_or(peer.listedAt));
     const Duration within = peer.status && peer.status->isStoreReader ? storeReaderTimeout() : HeardWithin;
-    return loop_.now() - seenAt <= within && (!peer.status || isSource(*peer.status));
+    return loop_.now() - seenAt <= within && (!peer.status || isUsableSource(*peer.status));
 }
 
 // The first by hash among those that are heard and know the store's state themselves: of few VMs the first three; of many
@@ -108,37 +108,37 @@
 {
     const std::uint64_t own = nameHash(presence_->instance());
     const std::uint64_t ownGroup = nameHash(presence_->group());
-    std::size_t matesBefore = 0;
+    std::size_t groupPeersBefore = 0;
     for (const auto &[instance, peer] : presence_->peers()) {
-        matesBefore += peer.group == presence_->group() && nameHash(instance) < own && mayBeStoreReader(peer) ? 1 : 0;
+        groupPeersBefore += peer.group == presence_->group() && nameHash(instance) < own && mayBeStoreReader(peer) ? 1 : 0;
     }
     std::size_t groupsBefore = 0;
     for (const auto &[name, group] : presence_->groups()) {
         groupsBefore += nameHash(name) < ownGroup && mayBeStoreReader(group) ? 1 : 0;
     }
-    return presence_->groups().empty() ? matesBefore < StoreReaders : matesBefore == 0 && groupsBefore < StoreReaders;
+    return presence_->groups().empty() ? groupPeersBefore < StoreReaders : groupPeersBefore == 0 && groupsBefore < StoreReaders;
 }
 
 // A VM that is cut off from the store, or knows it only by hearsay that has grown old, is no good as a source.
-bool TableRelay::isSource(const Status &status) const
+bool TableRelay::isUsableSource(const Status &status) const
 {
-    if (status.isDraining || (status.sinceStoreOutage && *status.sinceStoreOutage < OutageCounts)) {
+    if (status.isDraining || (status.sinceStoreOutage && *status.sinceStoreOutage < RecentOutage)) {
         return false;
     }
-    return std::all_of(watches_.begin(), watches_.end(), [&status](const Entry &entry) {
+    return std::all_of(watches_.begin(), watches_.end(), [&status](const WatchEntry &entry) {
         const auto found = status.tables.find(entry.watch->table());
-        return found != status.tables.end() && found->second.age <= entry.askAfter && found->second.version.era >= entry.watch->version().era;
+        return found != status.tables.end() && found->second.age <= entry.maxAge && found->second.version.era >= entry.watch->version().era;
     });
 }
 
 void TableRelay::fill(Status &status) const
 {
-    for (const auto &[watch, askAfter, lacked, lackedSince] : watches_) {
-        if (auto news = watch->delta()) {
-            status.tables[watch->table()] = std::move(*news);
+    for (const auto &[watch, maxAge, undeliveredVersion, undeliveredSince] : watches_) {
+        if (auto delta = watch->delta()) {
+            status.tables[watch->table()] = std::move(*delta);
         }
         const auto lastUnreachableAt = watch->lastUnreachableAt();
-        if (!lastUnreachableAt || loop_.now() - *lastUnreachableAt > OutageTold) {
+        if (!lastUnreachableAt || loop_.now() - *lastUnreachableAt > OutageReportedFor) {
             continue;
         }
         const Duration back = loop_.now() - *lastUnreachableAt;
@@ -146,58 +146,58 @@
     }
 }
 
-bool TableRelay::bringsNews(const Status &status) const
+bool TableRelay::hasNewChanges(const Status &status) const
 {
-    return std::any_of(watches_.begin(), watches_.end(), [&status](const Entry &entry) {
+    return std::any_of(watches_.begin(), watches_.end(), [&status](const WatchEntry &entry) {
         const auto found = status.tables.find(entry.watch->table());
         return found != status.tables.end() && !found->second.changes.empty() && found->second.version > entry.watch->version();
     });
 }
 
-void TableRelay::takeStatus(const Status &status, std::optional<TimePoint> provenAt)
+void TableRelay::handleStatus(const Status &status, std::optional<TimePoint> sentNotBefore)
 {
-    if (!provenAt) {
+    if (!sentNotBefore) {
         return;
     }
-    // NOTE Only with news: the store may be away for the sender alone, and what others say of it is not in doubt then.
-    if (status.sinceStoreOutage && outage_ && bringsNews(status)) {
-        outage_(loop_.now() - *status.sinceStoreOutage);
+    // NOTE Only with delta: the store may be away for the sender alone, and what others say of it is not in doubt then.
+    if (status.sinceStoreOutage && outageHandler_ && hasNewChanges(status)) {
+        outageHandler_(loop_.now() - *status.sinceStoreOutage);
     }
-    bool isNews = false;
-    for (Entry &entry : watches_) {
+    bool isNewChange = false;
+    for (WatchEntry &entry : watches_) {
         const auto found = status.tables.find(entry.watch->table());
         if (found == status.tables.end()) {
             continue;
         }
-        const rows::TableDelta &news = found->second;
+        const rows::TableDelta &delta = found->second;
         const auto own = entry.watch->version();
-        takeNews(entry, news, *provenAt, status.isStoreReader && status.summaryOf.empty());
-        isNews = isNews || (entry.watch->version() > own && !news.changes.empty());
+        offerDelta(entry, delta, *sentNotBefore, status.isStoreReader && status.summaryOf.empty());
+        isNewChange = isNewChange || (entry.watch->version() > own && !delta.changes.empty());
     }
-    if (isNews && !presence_->isInOwnGroup(status.instance)) {
+    if (isNewChange && !presence_->isInOwnGroup(status.instance)) {
         presence_->scheduleChangeBroadcast(BroadcastScope::Group);
     }
 }
 
 // NOTE That a VM which does not tell a change is ahead is no reason to ask the store: one that follows will tell it within a
 // round. Only what is too large to be told is asked for, after a while.
-void TableRelay::takeNews(Entry &entry, const rows::TableDelta &news, TimePoint provenAt, bool isOfFollower)
+void TableRelay::offerDelta(WatchEntry &entry, const rows::TableDelta &delta, TimePoint sentNotBefore, bool isFromStoreReader)
 {
-    const bool isOfOtherEra = news.version.era != entry.watch->version().era;
-    if (isOfFollower || isOfOtherEra || !entry.watch->hasGap(news)) {
-        entry.watch->applyDelta(news, provenAt);
+    const bool isFromOtherEra = delta.version.era != entry.watch->version().era;
+    if (isFromStoreReader || isFromOtherEra || !entry.watch->hasGap(delta)) {
+        entry.watch->applyDelta(delta, sentNotBefore);
         return;
     }
-    if (entry.lacked <= entry.watch->version()) {
-        entry.lacked = {news.version.era, news.changedAt};
-        entry.lackedSince = loop_.now();
+    if (entry.undeliveredVersion <= entry.watch->version()) {
+        entry.undeliveredVersion = {delta.version.era, delta.changedAt};
+        entry.undeliveredSince = loop_.now();
     }
 }
 
-bool TableRelay::lacksChange(const rows::RowWatch &watch) const
+bool TableRelay::lacksUndeliveredChange(const rows::RowWatch &watch) const
 {
-    const auto entry = std::find_if(watches_.begin(), watches_.end(), [&watch](const Entry &entry) { return entry.watch.get() == &watch; });
-    return entry != watches_.end() && entry->lacked > watch.version() && loop_.now() - entry->lackedSince > WaitsForChange;
+    const auto entry = std::find_if(watches_.begin(), watches_.end(), [&watch](const WatchEntry &entry) { return entry.watch.get() == &watch; });
+    return entry != watches_.end() && entry->undeliveredVersion > watch.version() && loop_.now() - entry->undeliveredSince > UndeliveredChangeWait;
 }
 
 } // namespace cardamomlift::presence
--- a/src/presence/presencemodule.cpp
+++ b/src/presence/presencemodule.cpp
@@ -92,7 +92,7 @@
         for (const auto &watch : *context.get<rows::Watches>()) {
             relay->add(watch, AskAfter);
         }
-        relay->add(presence->watch(), AskAfterForRows);
+        relay->add(presence->rowWatch(), AskAfterForRows);
         relay->onOutage([directory = context.get<directory::Directory>(), &loop](TimePoint backAt) { directory->noteOutageUntil(backAt, loop.now()); });
         context.set(relay);
     }
--- a/src/presence/statusformat.h
+++ b/src/presence/statusformat.h
@@ -1,7 +1,7 @@
 #pragma once
 
+#include "presence/packeddelta.h"
 #include "presence/presencetypes.h"
-#include "presence/tabledelta.h"
 
 #include <span>
 
@@ -20,7 +20,7 @@
 
 /// @p echo: the receiver's newest sequence that the sender has seen; 0: none. @p told: the changes of each table that go with
 /// the status; a table that is missing there has none to tell. The changes in the status itself are left out.
-std::string encodeStatus(const Status &status, std::uint64_t echo, const std::map<std::string, TableDelta> &told);
+std::string encodeStatus(const Status &status, std::uint64_t echo, const std::map<std::string, PackedDelta> &deltas);
 /// Empty if @p bytes are no status.
 std::optional<StatusMessage> decodeStatus(std::string_view bytes);
 
--- a/src/presence/tablerelay.h
+++ b/src/presence/tablerelay.h
@@ -16,8 +16,8 @@
 {
 public:
     static std::shared_ptr<TableRelay> create(EventLoop &loop, std::shared_ptr<Presence> presence);
-    /// Relays @p watch. @p askAfter: with knowledge older than this the VM asks the store itself.
-    void add(std::shared_ptr<rows::RowWatch> watch, Duration askAfter);
+    /// Relays @p watch. @p maxAge: with knowledge older than this the VM asks the store itself.
+    void add(std::shared_ptr<rows::RowWatch> watch, Duration maxAge);
     /// Called before changes are taken from a peer for which the store was away until @p backAt: entries may have lapsed
     /// meanwhile.
     void onOutage(std::function<void(TimePoint backAt)> handler);
@@ -25,11 +25,11 @@
     bool isStoreReader() const;
 
 private:
-    struct Entry {
+    struct WatchEntry {
         std::shared_ptr<rows::RowWatch> watch;
-        Duration askAfter{0};
-        rows::StoreVersion lacked; ///< Version of a change that another VM knows and that was not told; known here if the watch has it.
-        TimePoint lackedSince;
+        Duration maxAge{0};
+        rows::StoreVersion undeliveredVersion; ///< Version of a change that another VM knows and that was not told; known here if the watch has it.
+        TimePoint undeliveredSince;
     };
     TableRelay(EventLoop &loop, std::shared_ptr<Presence> presence);
     /// True if a VM that follows the store was heard lately.
@@ -37,16 +37,16 @@
     Duration storeReaderTimeout() const;
     /// True if @p peer, a VM or a group, is one that may follow the store.
     bool mayBeStoreReader(const Peer &peer) const;
-    bool isSource(const Status &status) const;
-    bool bringsNews(const Status &status) const;
-    bool lacksChange(const rows::RowWatch &watch) const;
-    void takeNews(Entry &entry, const rows::TableDelta &news, TimePoint provenAt, bool isOfFollower);
+    bool isUsableSource(const Status &status) const;
+    bool hasNewChanges(const Status &status) const;
+    bool lacksUndeliveredChange(const rows::RowWatch &watch) const;
+    void offerDelta(WatchEntry &entry, const rows::TableDelta &delta, TimePoint sentNotBefore, bool isFromStoreReader);
     void fill(Status &status) const;
-    void takeStatus(const Status &status, std::optional<TimePoint> provenAt);
+    void handleStatus(const Status &status, std::optional<TimePoint> sentNotBefore);
     EventLoop &loop_;
     std::shared_ptr<Presence> presence_;
-    std::vector<Entry> watches_;
-    std::function<void(TimePoint)> outage_;
+    std::vector<WatchEntry> watches_;
+    std::function<void(TimePoint)> outageHandler_;
 };
 
 } // namespace cardamomlift::presence
--- a/src/presence/tests/presence_test.cpp
+++ b/src/presence/tests/presence_test.cpp
@@ -69,7 +69,7 @@
     const auto two = start("2", 2000);
     pass(seconds(2));
     std::optional<TimePoint> proven;
-    one->onStatus([&](const Status &, std::optional<TimePoint> provenAt) { proven = provenAt; });
+    one->onStatus([&](const Status &, std::optional<TimePoint> sentNotBefore) { proven = sentNotBefore; });
     // What two sends now is held on its way for three seconds.
     network_.isHolding = true;
     pass(milliseconds(400));
@@ -147,7 +147,7 @@
     message.status.suspects = {12};
     message.status.limits = {{13, true, 1.1, milliseconds(200)}, {14, true, 0, milliseconds(0)}, {15, false, 0, milliseconds(7)}};
     message.status.holdsLease = true;
-    const auto read = decodeStatus(encodeStatus(message.status, 7, {{"t", TableDelta{{6, 2}, {6, 3}, packChanges(message.status.tables["t"].changes), 77}}}));
+    const auto read = decodeStatus(encodeStatus(message.status, 7, {{"t", PackedDelta{{6, 2}, {6, 3}, packChanges(message.status.tables["t"].changes), 77}}}));
     ASSERT_TRUE(read);
     EXPECT_EQ(read->echo, 7U);
     EXPECT_EQ(read->status.manifestVersion, 51U);
--- a/src/presence/tests/tablerelaytest.h
+++ b/src/presence/tests/tablerelaytest.h
@@ -76,7 +76,7 @@
         vm.watch = rows::RowWatch::start({loop_.get(), vm.store, log_}, "t", std::chrono::milliseconds(800), std::move(handlers));
         vm.relay = TableRelay::create(*loop_, vm.presence);
         vm.relay->add(vm.watch, AskAfter);
-        vm.relay->add(vm.presence->watch(), std::chrono::seconds(15));
+        vm.relay->add(vm.presence->rowWatch(), std::chrono::seconds(15));
     }
 
     static void take(Vm &vm, const std::vector<rows::Row> &rows)
