--- a/src/forwarding/tests/eventsplitter_test.cpp
+++ b/src/forwarding/tests/eventsplitter_test.cpp
@@ -8,7 +8,7 @@
 
 const std::string Stream = "id: 1\ndata: a\n\nid: 2\ndata: b\n\nid:3\r\ndata: c\n\n";
 
-TEST(EventSplitter, PassesWholeEventsOnlyAndNothingElse)
+TEST(EventSplitter, OutputsWholeEventsOnlyAndUnchanged)
 {
     for (std::size_t step = 1; step < Stream.size(); step++) {
         EventSplitter splitter;
@@ -23,7 +23,7 @@
     }
 }
 
-TEST(EventSplitter, ForgetsATornEventForTheNextServer)
+TEST(EventSplitter, DiscardsAnIncompleteEventBeforeResuming)
 {
     EventSplitter splitter;
     EXPECT_EQ(splitter.feed("id: 1\ndata: a\n\nid: 2\nda"), "id: 1\ndata: a\n\n");
@@ -33,7 +33,7 @@
     EXPECT_EQ(splitter.feed("id: 2\ndata: b\n\n"), "id: 2\ndata: b\n\n");
 }
 
-TEST(EventSplitter, HoldsBackABoundedAmount)
+TEST(EventSplitter, BuffersABoundedAmount)
 {
     EventSplitter splitter;
     const std::string huge(EventSplitter::MaxEventBytes + 1, 'x');
--- a/src/forwarding/tests/fakeversiongate.h
+++ b/src/forwarding/tests/fakeversiongate.h
@@ -7,7 +7,7 @@
 
 namespace cardamomlift::forwarding {
 
-/// What versions may get, set by a test: one version may be on trial, and the next requests may be picked for it.
+/// VersionGate controlled by a test: one version may be on trial, and the next requests may be assigned to it.
 class FakeVersionGate : public VersionGate
 {
 public:
@@ -55,7 +55,7 @@
     std::string versionOnTrial;
     VersionPick nextPick = VersionPick::Usual;
     int cancelledTrials = 0;
-    int open = 0; ///< Sends that are not over.
+    int open = 0; ///< Requests at servers that have not ended.
     std::vector<std::string> outcomes; ///< "version answered" or "version failed", in order.
 };
 
--- a/src/forwarding/tests/forwarder_test.cpp
+++ b/src/forwarding/tests/forwarder_test.cpp
@@ -4,16 +4,16 @@
 
 namespace {
 
-TEST_F(ForwarderTest, PassesTheRequestUnchangedAndAddsOnlyItsOwn)
+TEST_F(ForwarderTest, ForwardsTheRequestAndReplacesOnlyItsOwnHeaders)
 {
     const auto client = call(
         "POST /safe/a%2F?b=%20 HTTP/1.1\r\nHost: a\r\nX-Attempt-Id: id1\r\nX-Credential: key\r\nX-Tenant: forged\r\nX-Hold: h\r\nX-Pin-Ms: 5\r\n"
         "X-Request-Priority: 0\r\nX-Expect-Instance: other\r\nKv-From: 1.2.3.4:5/6\r\nX-Kv-Backup: 1.2.3.4:5\r\nConnection: X-Hop\r\nX-Hop: 1\r\nX-Model: m\r\n"
         "X-Deadline-Ms: 9000\r\nContent-Length: 4\r\n\r\nbody");
-    const auto seen = next();
-    EXPECT_EQ(seen->head().target, "/safe/a%2F?b=%20");
-    EXPECT_EQ(seen->body(), "body");
-    const http1::Fields &fields = seen->head().fields;
+    const auto forwarded = nextRequest();
+    EXPECT_EQ(forwarded->head().target, "/safe/a%2F?b=%20");
+    EXPECT_EQ(forwarded->body(), "body");
+    const http1::Fields &fields = forwarded->head().fields;
     EXPECT_EQ(fields.get("X-Tenant"), "customer");
     EXPECT_EQ(fields.count("X-Tenant"), 1U);
     EXPECT_EQ(fields.get("X-Model"), "m");
@@ -23,81 +23,81 @@
         EXPECT_FALSE(fields.has(name)) << name;
     }
     EXPECT_LE(std::stoi(std::string(fields.get("X-Deadline-Ms"))), 9000);
-    seen->answer(signedHead(), "answer");
+    forwarded->answer(signedHead(), "answer");
     ASSERT_TRUE(runUntil([&] { return hasStatus(*client, "200"); }));
     EXPECT_TRUE(client->received().ends_with("answer"));
     EXPECT_NE(client->received().find("X-Response-Signature: sig"), std::string::npos);
 }
 
-TEST_F(ForwarderTest, ARefusalByAllServersIsToldAsNotRun)
+TEST_F(ForwarderTest, ARequestRefusedByAllServersGetsA503AndItsAllowanceBack)
 {
     const auto client = call(request("/once/1"));
-    next()->answer(notRunHead(), "");
-    next()->answer(notRunHead(), "");
+    nextRequest()->answer(notRunHead(), "");
+    nextRequest()->answer(notRunHead(), "");
     ASSERT_TRUE(runUntil([&] { return hasStatus(*client, "503"); }));
     EXPECT_NE(client->received().find("Retry-After"), std::string::npos);
-    EXPECT_EQ(gate_->taken, 0) << "what did not run is given back";
+    EXPECT_EQ(allowances_->taken, 0) << "the allowance of a request that did not run is refunded";
 }
 
-TEST_F(ForwarderTest, ANonIdempotentRequestIsNotSentAgainAfterItMayHaveRun)
+TEST_F(ForwarderTest, ANonIdempotentRequestIsNotRetriedAfterItMayHaveRun)
 {
     const auto client = call(request("/once/1"));
-    next()->breakOff();
+    nextRequest()->breakOff();
     ASSERT_TRUE(runUntil([&] { return hasStatus(*client, "502"); }));
     EXPECT_EQ(arrivals(), 1);
 }
 
-TEST_F(ForwarderTest, AnIdempotentRequestIsSentAgainWithinItsAttempts)
+TEST_F(ForwarderTest, AnIdempotentRequestIsRetriedUpToItsMaxAttempts)
 {
     const auto client = call(request("/safe/1"));
-    next()->breakOff();
-    next()->breakOff();
+    nextRequest()->breakOff();
+    nextRequest()->breakOff();
     ASSERT_TRUE(runUntil([&] { return hasStatus(*client, "502"); }));
     EXPECT_EQ(arrivals(), 2);
-    EXPECT_EQ(backends_["one"].arrivals, 1) << "the second goes elsewhere";
+    EXPECT_EQ(backends_["one"].arrivals, 1) << "the retry goes to the other server";
 }
 
-TEST_F(ForwarderTest, AServersOwnFailurePassesUnchanged)
+TEST_F(ForwarderTest, AServerErrorIsForwardedUnchanged)
 {
     const auto client = call(request("/once/1"));
-    next()->answer(signedHead(500), "broken");
+    nextRequest()->answer(signedHead(500), "broken");
     ASSERT_TRUE(runUntil([&] { return hasStatus(*client, "500"); }));
     EXPECT_TRUE(client->received().ends_with("broken"));
     EXPECT_EQ(arrivals(), 1);
 }
 
-TEST_F(ForwarderTest, AnUnsignedSuccessIsNoSuccess)
+TEST_F(ForwarderTest, AnUnsignedSuccessIsTreatedAsAFailure)
 {
     const auto client = call(request("/once/1"));
     http1::ResponseHead head;
     head.status = 200;
-    next()->answer(std::move(head), "forged");
+    nextRequest()->answer(std::move(head), "forged");
     ASSERT_TRUE(runUntil([&] { return hasStatus(*client, "502"); }));
 }
 
-TEST_F(ForwarderTest, AStreamThatBreaksEndsVisiblyUnfinished)
+TEST_F(ForwarderTest, ABrokenStreamIsNotTerminatedAsComplete)
 {
     const auto client = call(request("/stream/1"));
-    const auto seen = next();
-    seen->begin(signedHead());
-    seen->send("id: 1\ndata: a\n\nid: 2\nda");
+    const auto forwarded = nextRequest();
+    forwarded->begin(signedHead());
+    forwarded->send("id: 1\ndata: a\n\nid: 2\nda");
     ASSERT_TRUE(runUntil([&] { return client->received().find("data: a") != std::string::npos; }));
-    seen->breakOff();
+    forwarded->breakOff();
     ASSERT_TRUE(runUntil([&] { return client->hasEnded(); }));
     EXPECT_EQ(client->received().find("id: 2"), std::string::npos);
     EXPECT_EQ(client->received().find("0\r\n\r\n"), std::string::npos);
-    EXPECT_EQ(arrivals(), 1) << "it may not be resumed";
+    EXPECT_EQ(arrivals(), 1) << "the route is not resumable";
 }
 
-TEST_F(ForwarderTest, AStreamGoesOnElsewhereBehindItsLastWholeEvent)
+TEST_F(ForwarderTest, AResumableStreamContinuesAtAnotherServerAfterItsLastWholeEvent)
 {
     const auto client = call(request("/resumed/1"));
-    const auto first = next();
+    const auto first = nextRequest();
     first->begin(signedHead());
     first->send("id: 1\ndata: a\n\nid: 2\nda");
     ASSERT_TRUE(runUntil([&] { return client->received().find("data: a") != std::string::npos; }));
     first->breakOff();
-    const auto second = next();
+    const auto second = nextRequest();
     EXPECT_EQ(second->head().fields.get("Last-Event-Id"), "1");
     http1::ResponseHead other = signedHead();
     other.fields.set("X-Response-Signature", "other");
@@ -107,31 +107,31 @@
     ASSERT_TRUE(runUntil([&] { return client->received().ends_with("0\r\n\r\n"); }));
     EXPECT_NE(client->received().find("Signature: sig"), std::string::npos) << "the caller sees the first server's head";
     EXPECT_EQ(client->received().find("other"), std::string::npos);
-    EXPECT_EQ(eventsOf(*client), "id: 1\ndata: a\n\nid: 2\ndata: b\n\n") << "nothing of the torn event";
+    EXPECT_EQ(eventsOf(*client), "id: 1\ndata: a\n\nid: 2\ndata: b\n\n") << "no bytes of the incomplete event";
     EXPECT_EQ(arrivals(), 2);
 }
 
-TEST_F(ForwarderTest, ARunMovesWithItsCacheWhenItsServerIsReclaimed)
+TEST_F(ForwarderTest, ARunIsMovedWithItsKvCacheWhenItsServerIsReclaimed)
 {
     const auto client = call(request("/stream/1"));
-    const auto first = next();
+    const auto first = nextRequest();
     const std::string source(first->head().fields.get("X-Expect-Instance"));
     const std::string target = source == "one" ? "two" : "one";
     first->begin(signedHead());
     first->send("id: 1\ndata: a\n\n");
     ASSERT_TRUE(runUntil([&] { return client->received().find("data: a") != std::string::npos; }));
     reclaim(source);
-    const auto order = next();
-    EXPECT_EQ(order->head().target, "/api/kv-move");
-    EXPECT_NE(order->body().find("\"id\":\"id1\""), std::string::npos);
-    EXPECT_NE(order->body().find(std::to_string(backends_[target].server->port())), std::string::npos);
-    // The source stops: what it had made comes first, then its answer to the order.
+    const auto moveCall = nextRequest();
+    EXPECT_EQ(moveCall->head().target, "/api/kv-move");
+    EXPECT_NE(moveCall->body().find("\"id\":\"id1\""), std::string::npos);
+    EXPECT_NE(moveCall->body().find(std::to_string(backends_[target].server->port())), std::string::npos);
+    // The source stops the run: it sends the remaining events first and then answers the call.
     first->send("id: 2\ndata: b\n\n");
     first->breakOff();
     http1::ResponseHead done;
     done.status = 200;
-    order->answer(std::move(done), R"({"handle":"h7","created":2})");
-    const auto second = next();
+    moveCall->answer(std::move(done), R"({"handle":"h7","created":2})");
+    const auto second = nextRequest();
     EXPECT_EQ(second->head().fields.get("X-Expect-Instance"), target);
     EXPECT_EQ(second->head().fields.get("Kv-From"), "127.0.0.1:" + std::to_string(backends_[source].server->port()) + "/h7");
     EXPECT_EQ(second->head().fields.get("Last-Event-Id"), "2");
@@ -143,50 +143,51 @@
     EXPECT_NE(client->received().find("data: c"), std::string::npos);
 }
 
-// Its caller would wait for the rest until its own time limit: an answer of ours has no place in a stream that has begun.
-TEST_F(ForwarderTest, AMovedStreamThatNoServerTakesEndsVisibly)
+// Guards against sending a new head on a stream that has started: its caller would wait for the rest of the stream until its
+// own time limit.
+TEST_F(ForwarderTest, AMovedStreamThatNoServerAcceptsIsNotTerminatedAsComplete)
 {
     const auto client = call(request("/stream/1"));
-    const auto first = next();
+    const auto first = nextRequest();
     first->begin(signedHead());
     first->send("id: 1\ndata: a\n\n");
     ASSERT_TRUE(runUntil([&] { return client->received().find("data: a") != std::string::npos; }));
     reclaim(std::string(first->head().fields.get("X-Expect-Instance")));
-    const auto order = next();
+    const auto moveCall = nextRequest();
     first->breakOff();
     http1::ResponseHead done;
     done.status = 200;
-    order->answer(std::move(done), R"({"handle":"h7","created":1})");
-    next()->answer(notRunHead(), {});
+    moveCall->answer(std::move(done), R"({"handle":"h7","created":1})");
+    nextRequest()->answer(notRunHead(), {});
     ASSERT_TRUE(runUntil([&] { return client->hasEnded(); }));
     EXPECT_FALSE(client->received().ends_with("0\r\n\r\n"));
     EXPECT_NE(logLines_.find(R"("event":"request_failed")"), std::string::npos) << logLines_;
 }
 
-TEST_F(ForwarderTest, ARunThatBeganBeforeItsMoveIsNotToldAsNotRun)
+TEST_F(ForwarderTest, AMovedRunThatTheTargetRefusesIsNotReportedAsNotRun)
 {
     const auto client = call(request("/stream/1"));
-    const auto first = next();
+    const auto first = nextRequest();
     reclaim(std::string(first->head().fields.get("X-Expect-Instance")));
-    const auto order = next();
+    const auto moveCall = nextRequest();
     first->breakOff();
     http1::ResponseHead done;
     done.status = 200;
-    order->answer(std::move(done), R"({"handle":"h7","created":0})");
-    next()->answer(notRunHead(), {});
+    moveCall->answer(std::move(done), R"({"handle":"h7","created":0})");
+    nextRequest()->answer(notRunHead(), {});
     EXPECT_TRUE(runUntil([&] { return hasStatus(*client, "502"); })) << client->received();
 }
 
-TEST_F(ForwarderTest, APromptThatAServerKeepsGoesThereAndIsCopiedWhenThatOneLeaves)
+TEST_F(ForwarderTest, ACachedPromptGoesToItsServerAndIsFetchedFromItWhileItDrains)
 {
     const std::string prompt = "X-Token-Usage: 9000,80\r\nX-Prompt-Prefix: aa:8000,bb:1000\r\nKv-Fetch: 10.9.9.9:1\r\n";
     std::vector<std::unique_ptr<http1::RawClient>> clients;
     std::string holder;
     for (int i = 0; i < 4; i++) {
         clients.push_back(call(request("/stream/1", prompt)));
-        const auto exchange = next();
+        const auto exchange = nextRequest();
         const std::string server(exchange->head().fields.get("X-Expect-Instance"));
-        EXPECT_NE(exchange->head().fields.get("Kv-Fetch"), "10.9.9.9:1") << "a caller may not name a source";
+        EXPECT_NE(exchange->head().fields.get("Kv-Fetch"), "10.9.9.9:1") << "a caller must not choose the source of a copy";
         holder = holder.empty() ? server : holder;
         EXPECT_EQ(server, holder);
         exchange->answer(signedHead(), "id: 1\ndata: a\n\n");
@@ -194,24 +195,24 @@
     }
     reclaim(holder);
     clients.push_back(call(request("/stream/1", prompt)));
-    const auto moved = next();
+    const auto moved = nextRequest();
     EXPECT_NE(moved->head().fields.get("X-Expect-Instance"), holder);
     EXPECT_EQ(moved->head().fields.get("Kv-Fetch"), "127.0.0.1:" + std::to_string(backends_[holder].server->port()));
-    EXPECT_NE(logLines_.find("\"to_read\":1000"), std::string::npos) << "only the last part";
+    EXPECT_NE(logLines_.find("\"to_read\":1000"), std::string::npos) << "all but the last part is fetched";
 }
 
-TEST_F(ForwarderTest, ARunThatCanNotMoveGoesOnAsFarAsItGets)
+TEST_F(ForwarderTest, ARunThatCanNotBeMovedContinuesAtItsServer)
 {
     const auto client = call(request("/stream/1"));
-    const auto first = next();
+    const auto first = nextRequest();
     first->begin(signedHead());
     first->send("id: 1\ndata: a\n\n");
     ASSERT_TRUE(runUntil([&] { return client->received().find("data: a") != std::string::npos; }));
     reclaim(std::string(first->head().fields.get("X-Expect-Instance")));
-    const auto order = next();
+    const auto moveCall = nextRequest();
     http1::ResponseHead none;
     none.status = 404;
-    order->answer(std::move(none), "{}");
+    moveCall->answer(std::move(none), "{}");
     loop_->runDue();
     first->send("id: 2\ndata: b\n\n");
     first->end();
@@ -219,59 +220,59 @@
     EXPECT_NE(client->received().find("data: b"), std::string::npos);
 }
 
-TEST_F(ForwarderTest, AFailedMoveOfAStoppedRunEndsTheStreamVisibly)
+TEST_F(ForwarderTest, AFailedMoveOfAStoppedRunDoesNotTerminateTheStreamAsComplete)
 {
     const auto client = call(request("/stream/1"));
-    const auto first = next();
+    const auto first = nextRequest();
     first->begin(signedHead());
     first->send("id: 1\ndata: a\n\n");
     ASSERT_TRUE(runUntil([&] { return client->received().find("data: a") != std::string::npos; }));
     reclaim(std::string(first->head().fields.get("X-Expect-Instance")));
-    const auto order = next();
+    const auto moveCall = nextRequest();
     first->breakOff();
     http1::ResponseHead full;
     full.status = 503;
-    order->answer(std::move(full), "{}");
+    moveCall->answer(std::move(full), "{}");
     ASSERT_TRUE(runUntil([&] { return client->hasEnded(); }));
     EXPECT_EQ(client->received().find("0\r\n\r\n"), std::string::npos);
-    EXPECT_EQ(arrivals(), 2) << "the request and the order";
+    EXPECT_EQ(arrivals(), 2) << "the request and the move";
 }
 
-TEST_F(ForwarderTest, AStreamThatFailsBeforeItsFirstEventIsSentAgainWhereItMayBe)
+TEST_F(ForwarderTest, AStreamThatFailsBeforeItsFirstEventIsRetriedIfResumable)
 {
     const auto client = call(request("/resumed/1"));
-    next()->answer(signedHead(500), "broken");
-    const auto second = next();
+    nextRequest()->answer(signedHead(500), "broken");
+    const auto second = nextRequest();
     second->answer(signedHead(), "id: 1\ndata: a\n\n");
     ASSERT_TRUE(runUntil([&] { return hasStatus(*client, "200"); }));
     const auto once = call(request("/stream/1"));
-    next()->answer(signedHead(500), "broken");
+    nextRequest()->answer(signedHead(500), "broken");
     ASSERT_TRUE(runUntil([&] { return hasStatus(*once, "500"); }));
     EXPECT_EQ(arrivals(), 3);
 }
 
-TEST_F(ForwarderTest, ACallerThatLeavesEndsTheWorkAtOnce)
+TEST_F(ForwarderTest, ADisconnectedCallerCancelsItsRequestAtOnce)
 {
-    // The time limit of the route must not be what ends it.
+    // With the clock paused, the route's time limit can't end the request instead.
     clock_.pause();
     const auto client = call(request("/stream/1"));
-    const auto seen = next();
+    const auto forwarded = nextRequest();
     bool cancelled = false;
-    seen->onGone([&] { cancelled = true; });
+    forwarded->onGone([&] { cancelled = true; });
     client->close();
     ASSERT_TRUE(runUntil([&] { return cancelled; }));
     EXPECT_EQ(forwarder_->openRequests(), 0U);
 }
 
-TEST_F(ForwarderTest, TheRoutesTimeLimitEndsARequestWithAnHonestAnswer)
+TEST_F(ForwarderTest, TheRoutesTimeLimitEndsARequestWithA504)
 {
     const auto client = call(request("/short/1"));
-    next();
+    nextRequest();
     ASSERT_TRUE(runUntil([&] { return hasStatus(*client, "504"); }));
     EXPECT_EQ(arrivals(), 1);
 }
 
-TEST_F(ForwarderTest, NoServerIsToldAtOnceWithATimeToComeBack)
+TEST_F(ForwarderTest, WithoutServersTheCallerGetsA503WithRetryAfterAtOnce)
 {
     directory_->remove("one", loop_->now());
     directory_->remove("two", loop_->now());
@@ -280,18 +281,18 @@
     EXPECT_NE(client->received().find("Retry-After"), std::string::npos);
 }
 
-TEST_F(ForwarderTest, AnUnreachableServerIsPassedOverWithoutARun)
+TEST_F(ForwarderTest, AnUnreachableServerIsSkipped)
 {
     backends_["one"].server.reset();
     const auto client = call(request("/once/1"));
-    next()->answer(signedHead(), "answer");
+    nextRequest()->answer(signedHead(), "answer");
     ASSERT_TRUE(runUntil([&] { return hasStatus(*client, "200"); }));
     const auto second = call(request("/once/2"));
-    next()->answer(signedHead(), "answer");
+    nextRequest()->answer(signedHead(), "answer");
     ASSERT_TRUE(runUntil([&] { return hasStatus(*second, "200"); }));
 }
 
-TEST_F(ForwarderTest, UnknownKeysAndRoutesAreDeniedOnlyOnFreshKnowledge)
+TEST_F(ForwarderTest, UnknownKeysAndRoutesAreDeniedWithAFreshManifest)
 {
     const auto unknownKey = call("GET /safe/1 HTTP/1.1\r\nHost: a\r\nX-Credential: other\r\n\r\n");
     ASSERT_TRUE(runUntil([&] { return hasStatus(*unknownKey, "401"); }));
@@ -300,32 +301,32 @@
     EXPECT_EQ(arrivals(), 0);
 }
 
-TEST_F(ForwarderTest, WhatIsOverTheAllowanceIsRefusedWithTheTimeOfRoom)
+TEST_F(ForwarderTest, ARequestOverTheAllowanceGetsA429WithRetryAfter)
 {
-    gate_->decision = {false, milliseconds(750)};
+    allowances_->decision = {false, milliseconds(750)};
     const auto client = call(request("/once/1"));
     ASSERT_TRUE(runUntil([&] { return hasStatus(*client, "429"); }));
     EXPECT_NE(client->received().find("Retry-After: 0.750"), std::string::npos);
     EXPECT_EQ(arrivals(), 0);
 }
 
-TEST_F(ForwarderTest, ADrainingVmTakesOnlyWhatEndsInTime)
+TEST_F(ForwarderTest, ADrainingVmAcceptsRequestsAtFirst)
 {
     forwarder_->beginDrain(loop_->now() + std::chrono::seconds(8));
     const auto taken = call(request("/stream/1"));
-    next()->answer(signedHead(), "id: 1\ndata: a\n\n");
-    ASSERT_TRUE(runUntil([&] { return hasStatus(*taken, "200"); })) << "callers go on for a while before they know";
+    nextRequest()->answer(signedHead(), "id: 1\ndata: a\n\n");
+    ASSERT_TRUE(runUntil([&] { return hasStatus(*taken, "200"); })) << "callers take a while to notice the drain";
 }
 
-TEST_F(ForwarderTest, RequestsThatTheLoopFreesLateDoNoHarm)
+TEST_F(ForwarderTest, RequestsMayOutliveTheForwarder)
 {
     const auto client = call(request("/once/1"));
-    next()->answer(signedHead(), "answer");
+    nextRequest()->answer(signedHead(), "answer");
     ASSERT_TRUE(runUntil([&] { return client->received().ends_with("answer"); }));
     const auto open = call(request("/once/2"));
-    next();
-    // As at the end of a daemon: services first, then the loop with what it still holds.
-    entry_.reset();
+    nextRequest();
+    // The order of destruction at the end of a daemon: services first, then the event loop with the requests it still holds.
+    gateway_.reset();
     forwarder_.reset();
     pool_.reset();
     backends_.clear();
@@ -335,14 +336,14 @@
 TEST_F(ForwarderTest, EachDecisionIsLoggedWithItsInputsAndWithoutTheKey)
 {
     const auto client = call(request("/once/1"));
-    next()->answer(signedHead(500), "broken");
+    nextRequest()->answer(signedHead(500), "broken");
     ASSERT_TRUE(runUntil([&] { return hasStatus(*client, "500"); }));
     EXPECT_NE(logLines_.find("\"request\":\"id1\""), std::string::npos);
     EXPECT_NE(logLines_.find("\"version\":1"), std::string::npos);
     EXPECT_EQ(logLines_.find("\"key\""), std::string::npos);
 }
 
-TEST(KeyFreshness, KeyedServiceEndsWhenKnowledgeIsOld)
+TEST(KeyFreshness, AManifestOlderThanMaxKeyAgeIsNotFresh)
 {
     const auto manifests = manifest::ManifestCache::create();
     ManualClock clock;
--- a/src/forwarding/tests/forwarderlimits_test.cpp
+++ b/src/forwarding/tests/forwarderlimits_test.cpp
@@ -7,7 +7,7 @@
 
 using std::chrono::seconds;
 
-/// The two servers, of which some have named a limit that leaves this VM no room until time passes.
+/// With the clock paused, a server that advertises a limit has no room for requests of this VM until the test advances it.
 class ForwarderLimitsTest : public ForwarderTest
 {
 protected:
@@ -32,9 +32,9 @@
         manifests_->confirm(loop_->now());
     }
 
-    void limit(const std::string &instance, double perSecond)
+    void limit(const std::string &instance, double requestsPerSecond)
     {
-        limits_->noteAnswer(instance, {AdvertisedLimit::Kind::Limited, perSecond}, loop_->now());
+        limits_->noteAnswer(instance, {AdvertisedLimit::Kind::Limited, requestsPerSecond}, loop_->now());
     }
 
     void useUpRoom(const std::string &instance)
@@ -44,42 +44,42 @@
         }
     }
 
-    void pass(Duration time)
+    void advance(Duration time)
     {
         clock_.advance(time);
         manifests_->confirm(loop_->now());
     }
 
-    static http1::ResponseHead headWithLimit(const std::string &perSecond)
+    static http1::ResponseHead headWithLimit(const std::string &requestsPerSecond)
     {
         http1::ResponseHead head = signedHead();
-        head.fields.add("Server-Limit", perSecond);
+        head.fields.add("Server-Limit", requestsPerSecond);
         return head;
     }
 
-    /// One request that is answered at once; its server names a limit, or none.
-    void serveOne(const std::string &perSecond = {})
+    /// Sends a request that is answered at once; its server advertises the limit @p requestsPerSecond, or none if it is empty.
+    void serveRequest(const std::string &requestsPerSecond = {})
     {
         const auto client = call(request("/safe/1"));
-        next()->answer(perSecond.empty() ? signedHead() : headWithLimit(perSecond), "answer");
+        nextRequest()->answer(requestsPerSecond.empty() ? signedHead() : headWithLimit(requestsPerSecond), "answer");
         ASSERT_TRUE(runUntil([&] { return hasStatus(*client, "200"); })) << client->received();
     }
 
     std::shared_ptr<serverlimits::ServerRateLimiter> limits_;
 };
 
-TEST_F(ForwarderLimitsTest, AServerThatNamesALimitInAnAnswerGetsNoMore)
+TEST_F(ForwarderLimitsTest, AServerThatAdvertisesALimitIsSkippedWhileItHasNoRoom)
 {
-    serveOne("1");
-    const std::string limitedOne = backends_["one"].arrivals > 0 ? "one" : "two";
+    serveRequest("1");
+    const std::string limitedServer = backends_["one"].arrivals > 0 ? "one" : "two";
     for (int i = 0; i < 20; i++) {
-        serveOne();
+        serveRequest();
     }
-    EXPECT_EQ(backends_[limitedOne].arrivals, 1) << "no time has passed since it named its limit";
-    EXPECT_NE(logLines_.find(R"("limited":1)"), std::string::npos) << "the line of a send says that a server was passed over";
+    EXPECT_EQ(backends_[limitedServer].arrivals, 1) << "no time has passed since it advertised its limit";
+    EXPECT_NE(logLines_.find(R"("limited":1)"), std::string::npos) << "the log line of a send counts the skipped servers";
 }
 
-TEST_F(ForwarderLimitsTest, WhereAllAreLimitedACallerIsToldWhenToComeBack)
+TEST_F(ForwarderLimitsTest, WhenAllServersAreLimitedRetryAfterTimesAreSpread)
 {
     limit("one", 1);
     limit("two", 1);
@@ -90,30 +90,30 @@
         const std::size_t place = client->received().find("Retry-After: ");
         ASSERT_NE(place, std::string::npos) << client->received();
         const double wait = std::stod(client->received().substr(place + std::string("Retry-After: ").size()));
-        EXPECT_NEAR(wait - last, i == 0 ? 0.25 : 0.5, 0.01) << "two servers take two requests a second: one caller after the other";
+        EXPECT_NEAR(wait - last, i == 0 ? 0.25 : 0.5, 0.01) << "the two servers accept two requests per second, so callers return 0.5 s apart";
         last = wait;
     }
     EXPECT_EQ(arrivals(), 0);
     EXPECT_NE(logLines_.find(R"("reason":"servers_limited")"), std::string::npos);
-    EXPECT_EQ(gate_->taken, 0) << "the customer's allowance is given back";
+    EXPECT_EQ(allowances_->taken, 0) << "the customer's allowance is refunded";
 }
 
-TEST_F(ForwarderLimitsTest, ALimitedServerGetsWhatItTakes)
+TEST_F(ForwarderLimitsTest, ALimitedServerGetsRequestsUpToItsLimit)
 {
     limit("one", 1);
     limit("two", 1);
-    pass(seconds(2));
-    serveOne("1");
-    serveOne("1");
+    advance(seconds(2));
+    serveRequest("1");
+    serveRequest("1");
     EXPECT_EQ(arrivals(), 2);
-    EXPECT_NE(logLines_.find(R"("limit":"1")"), std::string::npos) << "the line of a send tells the limit of its server";
+    EXPECT_NE(logLines_.find(R"("limit":"1")"), std::string::npos) << "the log line of a send gives the limit of its server";
 }
 
-TEST_F(ForwarderLimitsTest, ARequestIsNotRepeatedWhereThereIsNoRoom)
+TEST_F(ForwarderLimitsTest, ARequestIsNotRetriedAtAServerWithoutRoom)
 {
     limit("one", 1);
     const auto client = call(request("/safe/1"));
-    next()->answer(signedHead(500), "failed");
+    nextRequest()->answer(signedHead(500), "failed");
     ASSERT_TRUE(runUntil([&] { return hasStatus(*client, "502"); })) << client->received();
     EXPECT_EQ(backends_["one"].arrivals, 0);
 }
@@ -121,50 +121,50 @@
 TEST_F(ForwarderLimitsTest, ARunIsNotMovedToAServerWithoutRoom)
 {
     limit("two", 1);
-    pass(seconds(4));
+    advance(seconds(4));
     ASSERT_TRUE(limits_->hasRoom("two"));
     useUpRoom("two");
-    // Right after a turn the next one is a second away, wherever the clock began.
+    // Wait for the server's next turn: right after it, the one that follows is a second away, whatever the start of the clock.
     while (!limits_->hasRoom("two")) {
-        pass(milliseconds(1));
+        advance(milliseconds(1));
     }
     useUpRoom("two");
     const auto client = call(request("/stream/1"));
-    const auto exchange = next();
+    const auto exchange = nextRequest();
     ASSERT_EQ(backends_["one"].arrivals, 1);
     exchange->begin(signedHead());
     exchange->send("id: 1\ndata: a\n\n");
     ASSERT_TRUE(runUntil([&] { return hasStatus(*client, "200"); }));
     reclaim("one");
-    pass(milliseconds(50));
+    advance(milliseconds(50));
     loop_->runDue();
     EXPECT_EQ(arrivals(), 1);
     EXPECT_EQ(logLines_.find("stream_moved"), std::string::npos);
 }
 
-TEST_F(ForwarderLimitsTest, AMovedRunCountsWhereItGoes)
+TEST_F(ForwarderLimitsTest, AMovedRunCountsAgainstTheLimitOfItsTarget)
 {
     limit("two", 1);
     const auto client = call(request("/stream/1"));
-    const auto exchange = next();
+    const auto exchange = nextRequest();
     exchange->begin(signedHead());
     exchange->send("id: 1\ndata: a\n\n");
     ASSERT_TRUE(runUntil([&] { return hasStatus(*client, "200"); }));
-    // One request may go to the server.
+    // Wait until the server has room for one request.
     while (!limits_->hasRoom("two")) {
-        pass(milliseconds(100));
+        advance(milliseconds(100));
     }
     reclaim("one");
     ASSERT_TRUE(runUntil([&] { return logLines_.find("stream_moved") != std::string::npos; }));
     EXPECT_FALSE(limits_->hasRoom("two"));
 }
 
-TEST_F(ForwarderLimitsTest, TheLimitEndsWithAnAnswerThatNamesNone)
+TEST_F(ForwarderLimitsTest, AnAnswerWithoutALimitEndsTheLimit)
 {
     limit("one", 1);
     limit("two", 1);
-    pass(seconds(2));
-    serveOne();
+    advance(seconds(2));
+    serveRequest();
     EXPECT_EQ(limits_->limitedServers(), 1U);
 }
 
--- a/src/forwarding/tests/forwarderrepeats_test.cpp
+++ b/src/forwarding/tests/forwarderretries_test.cpp
@@ -4,17 +4,17 @@
 
 namespace {
 
-TEST_F(ForwarderTest, RepeatsEndWhenTheBudgetIsUsed)
+TEST_F(ForwarderTest, RetriesEndWhenTheBudgetIsUsedUp)
 {
     const ForwardingSettings settings;
     constexpr int Requests = 40;
-    const double most = settings.retrySlack / 2 + settings.retryRatio * Requests;
-    const int repeats = countRetriesOfBroken(Requests);
-    EXPECT_LE(repeats, most);
-    EXPECT_GE(repeats, most - 1);
+    const double maxRetries = settings.retrySlack / 2 + settings.retryRatio * Requests;
+    const int retries = countRetriesOfBroken(Requests);
+    EXPECT_LE(retries, maxRetries);
+    EXPECT_GE(retries, maxRetries - 1);
 }
 
-TEST_F(ForwarderTest, AYoungProcessThatDoesNotKnowTheOtherVmsRepeatsLittle)
+TEST_F(ForwarderTest, ANewProcessThatDoesNotKnowTheVmCountRetriesLittle)
 {
     vmCount_.reset();
     tools_.settings.retryRatio = 0;
@@ -23,7 +23,7 @@
     EXPECT_EQ(countRetriesOfBroken(10), 1);
 }
 
-TEST_F(ForwarderTest, WhatAYoungProcessMayRepeatGrowsOverAWindow)
+TEST_F(ForwarderTest, TheRetryBudgetOfANewProcessGrowsOverAWindow)
 {
     const ForwardingSettings settings;
     tools_.settings.retryRatio = 0;
@@ -37,10 +37,10 @@
     EXPECT_LE(first + second, settings.retrySlack / 2);
     clock_.advance(settings.retryWindow);
     forwarder_->tick();
-    EXPECT_EQ(countRetriesOfBroken(10), 0) << "what is not earned is given once";
+    EXPECT_EQ(countRetriesOfBroken(10), 0) << "the budget of a new process is granted only once";
 }
 
-TEST_F(ForwarderTest, TheBoundOfRepeatsFollowsTheNumberOfVms)
+TEST_F(ForwarderTest, TheRetryBudgetFollowsTheNumberOfVms)
 {
     tools_.settings.retryRatio = 0;
     restartForwarder();
--- a/src/forwarding/tests/forwardersilence_test.cpp
+++ b/src/forwarding/tests/forwardersilence_test.cpp
@@ -4,33 +4,33 @@
 
 namespace {
 
-TEST_F(ForwarderTest, AnIdempotentRequestAtASilentServerGoesElsewhere)
+TEST_F(ForwarderTest, AnIdempotentRequestAtASilentServerIsRetriedAtAnother)
 {
     clock_.pause();
     const auto client = call(request("/safe/1"));
-    const auto first = next();
+    const auto first = nextRequest();
     bool cancelled = false;
     first->onGone([&] { cancelled = true; });
     clock_.advance(Silence);
-    const auto second = next();
+    const auto second = nextRequest();
     EXPECT_NE(second->head().fields.get("X-Expect-Instance"), first->head().fields.get("X-Expect-Instance"));
-    ASSERT_TRUE(runUntil([&] { return cancelled; })) << "the silent server need not go on with it";
+    ASSERT_TRUE(runUntil([&] { return cancelled; })) << "the request at the silent server is cancelled";
     second->answer(signedHead(), "answer");
     ASSERT_TRUE(runUntil([&] { return hasStatus(*client, "200"); }));
     EXPECT_EQ(arrivals(), 2);
     EXPECT_NE(logLines_.find("\"event\":\"server_silent\""), std::string::npos);
 }
 
-TEST_F(ForwarderTest, AResumableStreamGoesOnElsewhereWhenItsServerFallsSilent)
+TEST_F(ForwarderTest, AResumableStreamContinuesAtAnotherServerWhenItsServerIsSilent)
 {
     clock_.pause();
     const auto client = call(request("/resumed/1"));
-    const auto first = next();
+    const auto first = nextRequest();
     first->begin(signedHead());
     first->send("id: 1\ndata: a\n\nid: 2\nda");
     ASSERT_TRUE(runUntil([&] { return client->received().find("data: a") != std::string::npos; }));
     clock_.advance(Silence);
-    const auto second = next();
+    const auto second = nextRequest();
     EXPECT_EQ(second->head().fields.get("Last-Event-Id"), "1");
     second->begin(signedHead());
     second->send("id: 2\ndata: b\n\n");
@@ -43,7 +43,7 @@
 {
     clock_.pause();
     const auto client = call(request("/once/1"));
-    const auto first = next();
+    const auto first = nextRequest();
     clock_.advance(Silence);
     ASSERT_TRUE(runUntil([&] { return logLines_.find("\"event\":\"server_silent\"") != std::string::npos; }));
     first->answer(signedHead(), "answer");
@@ -51,15 +51,15 @@
     EXPECT_EQ(arrivals(), 1);
 }
 
-TEST_F(ForwarderTest, AServerThatAnswersOthersIsNotSilent)
+TEST_F(ForwarderTest, AServerThatAnswersOtherRequestsIsNotSilent)
 {
     clock_.pause();
     directory_->remove("two", loop_->now());
     const auto client = call(request("/safe/1"));
-    const auto first = next();
+    const auto first = nextRequest();
     clock_.advance(LatencyGoal);
     const auto other = call(request("/safe/2"));
-    next()->answer(signedHead(), "other");
+    nextRequest()->answer(signedHead(), "other");
     ASSERT_TRUE(runUntil([&] { return hasStatus(*other, "200"); }));
     clock_.advance(Silence - LatencyGoal);
     loop_->runDue();
@@ -68,11 +68,11 @@
     EXPECT_EQ(logLines_.find("\"event\":\"server_silent\""), std::string::npos);
 }
 
-TEST_F(ForwarderTest, AfterASuspensionAnAnswerThatWaitsIsReadBeforeItsServerIsBlamed)
+TEST_F(ForwarderTest, AfterASuspensionPendingAnswersAreReadBeforeAServerCountsAsSilent)
 {
     clock_.pause();
     const auto client = call(request("/safe/1"));
-    const auto first = next();
+    const auto first = nextRequest();
     clock_.advance(Silence + std::chrono::seconds(3));
     first->answer(signedHead(), "answer");
     ASSERT_TRUE(runUntil([&] { return hasStatus(*client, "200"); }));
@@ -80,16 +80,16 @@
     EXPECT_EQ(logLines_.find("\"event\":\"server_silent\""), std::string::npos);
 }
 
-TEST_F(ForwarderTest, AServerThatSwallowedTwoRequestsGetsNoMoreForAWhile)
+TEST_F(ForwarderTest, AServerThatIsSilentTwiceGetsNoMoreRequestsForAWhile)
 {
     clock_.pause();
     std::vector<std::unique_ptr<http1::RawClient>> callers;
     std::vector<http1::ExchangePtr> held;
-    // The server that gets the first request never answers; its callers leave.
+    // The server that receives the first request never answers; its callers disconnect.
     std::string silent;
     while (backends_["one"].arrivals + backends_["two"].arrivals < 40) {
         callers.push_back(call(request("/once/1")));
-        auto exchange = next();
+        auto exchange = nextRequest();
         const std::string server(exchange->head().fields.get("X-Expect-Instance"));
         silent = silent.empty() ? server : silent;
         if (server != silent) {
--- a/src/forwarding/tests/forwardertest.h
+++ b/src/forwarding/tests/forwardertest.h
@@ -14,19 +14,19 @@
 
 using std::chrono::milliseconds;
 
-/// Of all routes.
+/// Latency goal and event gap goal of all routes.
 inline constexpr Duration LatencyGoal = milliseconds(1000);
-/// After which a server that says nothing is taken for silent.
+/// Time after which a server that sends nothing counts as silent.
 inline constexpr Duration Silence = 2 * LatencyGoal + milliseconds(1);
 
-/// A backend server whose requests wait until the test answers them.
-struct Backend {
+/// A backend server whose requests are queued until the test answers them.
+struct FakeBackend {
     std::shared_ptr<http1::CallerServer> server;
     std::deque<http1::ExchangePtr> requests;
     int arrivals = 0;
 };
 
-/// What a customer's allowance says, set by the test.
+/// AllowanceGate whose decision is set by the test.
 class FakeAllowanceGate : public AllowanceGate
 {
 public:
@@ -45,7 +45,7 @@
     std::int64_t taken = 0;
 };
 
-/// A forwarder before two backend servers of one service, all in this process.
+/// A forwarder with two backend servers of one service, all in this process.
 class ForwarderTest : public http1::LoopTest
 {
 protected:
@@ -69,7 +69,7 @@
         tools.outliers = outliers::OutlierDetector::create(*loop_, log_);
         tools.peerBacklog = std::make_shared<PeerBacklog>();
         tools.prefixes = prefixindex::PrefixIndex::create(*loop_);
-        tools.allowances = gate_;
+        tools.allowances = allowances_;
         tools.wire = platform::requestFormat();
         tools.settings.zone = "zone";
         tools.vmCount = [this] {
@@ -84,17 +84,17 @@
         };
         handlers.onRejected = [](int) {
         };
-        entry_ = http1::CallerServer::listen(*loop_, {"127.0.0.1", 0}, {}, std::move(handlers)).value();
+        gateway_ = http1::CallerServer::listen(*loop_, {"127.0.0.1", 0}, {}, std::move(handlers)).value();
         addBackend("one");
         addBackend("two");
-        offerManifest(1);
+        installManifest(1);
     }
 
-    /// Has idempotent requests broken off at each server that they reach; how many were sent again.
+    /// Sends idempotent requests that each server they reach breaks off; returns the number of retries.
     int countRetriesOfBroken(int requests)
     {
         const int before = arrivals();
-        // Time may have been skipped, and keys are judged on fresh knowledge only.
+        // The clock may have been advanced, and keys are only checked against a fresh manifest.
         manifests_->confirm(loop_->now());
         for (int i = 0; i < requests; i++) {
             const auto client = call(request("/safe/1"));
@@ -111,7 +111,7 @@
         return arrivals() - before - requests;
     }
 
-    /// As a new process begins: it does not know yet how many VMs there are.
+    /// Replaces the forwarder, as a restart of the process does. Its retry budgets start anew.
     void restartForwarder()
     {
         forwarder_ = Forwarder::create(tools_);
@@ -119,7 +119,7 @@
 
     void addBackend(const std::string &instance, const std::string &version = {})
     {
-        Backend &backend = backends_[instance];
+        FakeBackend &backend = backends_[instance];
         http1::ServerHandlers handlers;
         handlers.onRequest = [&backend](http1::ExchangePtr exchange) {
             backend.arrivals++;
@@ -152,7 +152,7 @@
         return route;
     }
 
-    void offerManifest(std::uint64_t version)
+    void installManifest(std::uint64_t version)
     {
         manifest::Manifest manifest;
         manifest.version = version;
@@ -178,7 +178,7 @@
         manifests_->confirm(loop_->now());
     }
 
-    /// The server says that it is reclaimed in a moment.
+    /// The server starts draining because it is reclaimed in half a second.
     void reclaim(const std::string &instance)
     {
         directory::BackendServer server = directory_->find(instance)->server;
@@ -195,7 +195,7 @@
 
     std::unique_ptr<http1::RawClient> call(const std::string &bytes)
     {
-        auto client = std::make_unique<http1::RawClient>(entry_->port());
+        auto client = std::make_unique<http1::RawClient>(gateway_->port());
         client->send(bytes);
         return client;
     }
@@ -209,8 +209,8 @@
         return sum;
     }
 
-    /// Waits for the next request at any backend server and takes it.
-    http1::ExchangePtr next()
+    /// Waits for the next request at any backend server and removes it from the server's queue.
+    http1::ExchangePtr nextRequest()
     {
         http1::ExchangePtr exchange;
         EXPECT_TRUE(runUntil([&] {
@@ -248,7 +248,7 @@
         return client.received().starts_with("HTTP/1.1 " + status) && client.received().find("\r\n\r\n") != std::string::npos;
     }
 
-    /// The body of a chunked answer that has ended.
+    /// Decodes the body of a chunked answer that has ended.
     static std::string eventsOf(http1::RawClient &client)
     {
         const std::string &received = client.received();
@@ -267,12 +267,12 @@
     std::shared_ptr<directory::Directory> directory_;
     std::shared_ptr<ServerPool> pool_;
     std::shared_ptr<eventlog::EventLog> log_;
-    std::shared_ptr<FakeAllowanceGate> gate_ = std::make_shared<FakeAllowanceGate>();
+    std::shared_ptr<FakeAllowanceGate> allowances_ = std::make_shared<FakeAllowanceGate>();
     ForwarderTools tools_;
     std::optional<std::size_t> vmCount_ = 1;
     std::shared_ptr<Forwarder> forwarder_;
-    std::shared_ptr<http1::CallerServer> entry_;
-    std::map<std::string, Backend> backends_;
+    std::shared_ptr<http1::CallerServer> gateway_;
+    std::map<std::string, FakeBackend> backends_;
     std::string logLines_;
 };
 
--- a/src/forwarding/tests/forwarderversions_test.cpp
+++ b/src/forwarding/tests/forwarderversions_test.cpp
@@ -5,7 +5,7 @@
 
 namespace {
 
-/// The two servers of the usual version, and one of a version on trial.
+/// Two servers of the usual version and one of a version on trial.
 class ForwarderVersionsTest : public ForwarderTest
 {
 protected:
@@ -22,47 +22,47 @@
     std::shared_ptr<FakeVersionGate> versions_ = std::make_shared<FakeVersionGate>();
 };
 
-TEST_F(ForwarderVersionsTest, AVersionOnTrialGetsNoUsualRequest)
+TEST_F(ForwarderVersionsTest, AVersionOnTrialGetsNoRegularRequests)
 {
     for (int i = 0; i < 20; i++) {
         const auto client = call(request("/safe/1"));
-        next()->answer(signedHead(), "answer");
+        nextRequest()->answer(signedHead(), "answer");
         ASSERT_TRUE(runUntil([&] { return hasStatus(*client, "200"); }));
     }
     EXPECT_EQ(backends_["new"].arrivals, 0);
     EXPECT_EQ(versions_->open, 0);
 }
 
-// The caller shall not pay twice for the trial.
-TEST_F(ForwarderVersionsTest, ARequestThatFailsInTheTrialIsRepeatedAtTheUsualVersion)
+// A caller should not suffer from a trial twice.
+TEST_F(ForwarderVersionsTest, ARequestThatFailsInTheTrialIsRetriedAtTheUsualVersion)
 {
     versions_->nextPick = VersionPick::OnTrial;
     const auto client = call(request("/safe/1"));
-    const auto first = next();
+    const auto first = nextRequest();
     EXPECT_EQ(backends_["new"].arrivals, 1);
     first->answer(signedHead(500), "failed");
-    next()->answer(signedHead(), "answer");
+    nextRequest()->answer(signedHead(), "answer");
     ASSERT_TRUE(runUntil([&] { return hasStatus(*client, "200"); }));
     EXPECT_EQ(backends_["new"].arrivals, 1);
     EXPECT_EQ(versions_->outcomes, (std::vector<std::string>{"v2 failed", " answered"}));
     EXPECT_EQ(versions_->open, 0);
 }
 
-TEST_F(ForwarderVersionsTest, ATrialWithoutAServerIsNotSpent)
+TEST_F(ForwarderVersionsTest, ATrialWithoutAServerIsCancelled)
 {
     directory_->remove("new", loop_->now());
     versions_->nextPick = VersionPick::OnTrial;
     const auto client = call(request("/safe/1"));
-    next()->answer(signedHead(), "answer");
+    nextRequest()->answer(signedHead(), "answer");
     ASSERT_TRUE(runUntil([&] { return hasStatus(*client, "200"); }));
     EXPECT_EQ(versions_->cancelledTrials, 1);
 }
 
-TEST_F(ForwarderVersionsTest, ARequestWithoutAnAnswerInItsTimeCountsAsFailed)
+TEST_F(ForwarderVersionsTest, ARequestThatMissesItsDeadlineCountsAsFailed)
 {
     versions_->nextPick = VersionPick::OnTrial;
     const auto client = call(request("/short/1"));
-    const auto unanswered = next();
+    const auto unanswered = nextRequest();
     clock_.pause();
     clock_.advance(milliseconds(200));
     ASSERT_TRUE(runUntil([&] { return hasStatus(*client, "504"); }));
