--- a/src/forwarding/forwardingmodule.cpp
+++ b/src/forwarding/forwardingmodule.cpp
@@ -62,13 +62,13 @@
         tools.limits = context.find<ServerLimitGate>();
         tools.demand = std::make_shared<ServiceDemand>();
         context.set(tools.demand);
-        context.get<presence::Presence>()->contribute(
+        context.get<presence::Presence>()->addStatusContributor(
             [demand = tools.demand, loop = tools.loop](presence::Status &status) { status.services = demand->loads(loop->now()); });
         tools.peerBacklog = std::make_shared<PeerBacklog>();
-        context.get<presence::Presence>()->contribute([pool](presence::Status &status) { status.works = pool->waitingTokens(); });
+        context.get<presence::Presence>()->addStatusContributor([pool](presence::Status &status) { status.serverWork = pool->waitingTokens(); });
         context.get<presence::Presence>()->onStatus([backlog = tools.peerBacklog, loop = tools.loop](const presence::Status &status, std::optional<TimePoint>) {
             if (!status.isPartial) {
-                backlog->update(status.instance, status.works, loop->now());
+                backlog->update(status.instance, status.serverWork, loop->now());
             }
         });
         tools.vmCount = [presence = context.get<presence::Presence>()] {
--- a/src/rollout/rolloutcontrollermodule.cpp
+++ b/src/rollout/rolloutcontrollermodule.cpp
@@ -1,7 +1,7 @@
 #include "forwarding/forwarder.h"
 #include "kernel/module.h"
 #include "kernel/runtime.h"
-#include "presence/truetime.h"
+#include "presence/clusterclock.h"
 #include "rollout/rolloutagent.h"
 #include "rollout/rolloutcontroller.h"
 
@@ -9,7 +9,7 @@
 
 namespace {
 
-/// What decides rollouts while this VM holds the duty lease, and moves what runs at servers that are about to stop.
+/// Starts the RolloutController, and moves open requests away from servers of other versions before these stop.
 class RolloutControllerModule : public Module
 {
 public:
@@ -43,7 +43,7 @@
         tools.orders = context.get<OrderCache>();
         tools.directory = context.get<directory::Directory>();
         tools.log = context.get<eventlog::EventLog>();
-        tools.storeNow = [time = context.get<presence::TrueTime>()] {
+        tools.storeNow = [time = context.get<presence::ClusterClock>()] {
             return time->storeNow();
         };
         tools.format = *context.get<StatusFormat>();
