--- a/src/forwarding/forwardingmodule.cpp
+++ b/src/forwarding/forwardingmodule.cpp
@@ -78,7 +78,7 @@
         tools.prefixes = context.get<prefixindex::PrefixIndex>();
         tools.wire = *context.get<WireFormat>();
         tools.settings = forwardingSettings(*settings->routes, settings->zone);
-        GatewayTools gatewayTools;
+        RouteGatewayTools gatewayTools;
         gatewayTools.loop = tools.loop;
         gatewayTools.settings = *settings->routes;
         gatewayTools.zone = settings->zone;
--- a/src/forwarding/internal/forwardedrequest.cpp
+++ b/src/forwarding/internal/forwardedrequest.cpp
@@ -13,7 +13,7 @@
 /// A server that accepts no connection within this time is skipped: many times the round trip between failure domains.
 constexpr Duration ConnectTimeout = std::chrono::milliseconds(400);
 /// 404 and 401 are returned only if the manifest was confirmed within this time; an older one may lack a new route or key.
-constexpr Duration MaxDenialAge = std::chrono::seconds(3);
+constexpr Duration MaxManifestAgeForDenial = std::chrono::seconds(3);
 /// For a VM that has lost its connection to the store: the caller's next attempt reaches another VM.
 constexpr Duration StaleRetryAfter = std::chrono::milliseconds(200);
 /// For a VM that is shutting down: any other VM accepts the request at once.
@@ -25,8 +25,8 @@
 
 ForwardedRequest::ForwardedRequest(Forwarder &forwarder, http1::ExchangePtr exchange)
     : forwarder_(forwarder)
-    , shared_(forwarder.tools_)
-    , tools_(*shared_)
+    , toolsOwner_(forwarder.tools_)
+    , tools_(*toolsOwner_)
     , exchange_(std::move(exchange))
 {
 }
@@ -87,7 +87,7 @@
     if (route_ && !route_->shares.empty()) {
         return true;
     }
-    if (!tools_.manifests->isFresh(tools_.loop->now(), MaxDenialAge)) {
+    if (!tools_.manifests->isFresh(tools_.loop->now(), MaxManifestAgeForDenial)) {
         refuse(StatusUnavailable, FailureReason::StaleKeys, StaleRetryAfter);
         return false;
     }
@@ -112,7 +112,7 @@
     if (customer_) {
         return true;
     }
-    if (!tools_.manifests->isFresh(now, MaxDenialAge)) {
+    if (!tools_.manifests->isFresh(now, MaxManifestAgeForDenial)) {
         refuse(StatusUnavailable, FailureReason::StaleKeys, StaleRetryAfter);
         return false;
     }
--- a/src/forwarding/internal/forwardedrequest.h
+++ b/src/forwarding/internal/forwardedrequest.h
@@ -125,7 +125,7 @@
     void logAllowance(const AllowanceDecision &decision) const;
 
     Forwarder &forwarder_;
-    std::shared_ptr<const ForwarderTools> shared_;
+    std::shared_ptr<const ForwarderTools> toolsOwner_; ///< Keeps tools_ alive when the forwarder is gone.
     const ForwarderTools &tools_;
     http1::ExchangePtr exchange_;
     CallerRequest request_;
--- a/src/forwarding/internal/forwardedrequestmove.cpp
+++ b/src/forwarding/internal/forwardedrequestmove.cpp
@@ -11,8 +11,8 @@
 using eventlog::Attribute;
 using eventlog::Event;
 
-/// A run is moved this long before its server stops. A late move is cheaper, as most streams end by themselves within the
-/// notice. A copy of usual size takes some tens of milliseconds, and waits for others on the same link.
+/// A run is moved this long before its server stops: not earlier, as most streams end by themselves within the notice, and
+/// not later, as a copy of usual size takes some tens of milliseconds and waits for other copies on the same link.
 constexpr Duration MoveLead = std::chrono::milliseconds(700);
 /// The source must answer within this time, so that the target resumes the stream before the caller takes the pause for
 /// the end of the stream.
--- a/src/forwarding/internal/peerbacklog.cpp
+++ b/src/forwarding/internal/peerbacklog.cpp
@@ -27,10 +27,10 @@
     serversByVm_.erase(vm);
 }
 
-void PeerBacklog::update(const std::string &vm, std::span<const presence::ServerWork> works, TimePoint now)
+void PeerBacklog::update(const std::string &vm, std::span<const presence::ServerWork> serverWork, TimePoint now)
 {
     dropReport(vm);
-    for (const presence::ServerWork &work : works) {
+    for (const presence::ServerWork &work : serverWork) {
         servers_[work.server][vm] = {work.waitingTokens, now};
         serversByVm_[vm].push_back(work.server);
     }
--- a/src/forwarding/internal/routegateway.cpp
+++ b/src/forwarding/internal/routegateway.cpp
@@ -46,7 +46,7 @@
     return result;
 }
 
-RouteGateway::RouteGateway(GatewayTools tools)
+RouteGateway::RouteGateway(RouteGatewayTools tools)
     : tools_(std::move(tools))
 {
 }
@@ -56,7 +56,7 @@
     tools_.loop->cancel(drainTimer_);
 }
 
-Result<std::shared_ptr<RouteGateway>> RouteGateway::create(GatewayTools tools)
+Result<std::shared_ptr<RouteGateway>> RouteGateway::create(RouteGatewayTools tools)
 {
     std::shared_ptr<RouteGateway> gateway(new RouteGateway(std::move(tools)));
     BOOST_OUTCOME_TRY(gateway->open());
--- a/src/forwarding/internal/serverpool.cpp
+++ b/src/forwarding/internal/serverpool.cpp
@@ -141,13 +141,13 @@
 
 std::vector<presence::ServerWork> ServerPool::waitingTokens() const
 {
-    std::vector<presence::ServerWork> works;
+    std::vector<presence::ServerWork> waiting;
     for (const auto &[instance, entry] : entries_) {
         if (entry.load.localWaitingTokens > 0) {
-            works.push_back({presence::nameHash(instance), entry.load.localWaitingTokens});
+            waiting.push_back({presence::nameHash(instance), entry.load.localWaitingTokens});
         }
     }
-    return works;
+    return waiting;
 }
 
 void ServerPool::tick()
--- a/src/forwarding/peerbacklog.h
+++ b/src/forwarding/peerbacklog.h
@@ -17,8 +17,8 @@
 class PeerBacklog
 {
 public:
-    /// Replaces the previous report of @p vm by @p works.
-    void update(const std::string &vm, std::span<const presence::ServerWork> works, TimePoint now);
+    /// Replaces the previous report of @p vm by @p serverWork.
+    void update(const std::string &vm, std::span<const presence::ServerWork> serverWork, TimePoint now);
     /// Tokens waiting at the server with the hash @p server, less those that it has likely processed since the reports.
     std::int64_t waitingTokens(std::uint64_t server, TimePoint now) const;
 
--- a/src/forwarding/routegateway.h
+++ b/src/forwarding/routegateway.h
@@ -16,7 +16,7 @@
 ForwardingSettings forwardingSettings(const settings::RouteGatewaySettings &settings, std::string_view zone);
 
 /// Dependencies of a RouteGateway.
-struct GatewayTools {
+struct RouteGatewayTools {
     EventLoop *loop = nullptr;
     settings::RouteGatewaySettings settings;
     std::string zone;
@@ -31,7 +31,7 @@
 class RouteGateway
 {
 public:
-    static Result<std::shared_ptr<RouteGateway>> create(GatewayTools tools);
+    static Result<std::shared_ptr<RouteGateway>> create(RouteGatewayTools tools);
     ~RouteGateway();
 
     /// Starts the shutdown: reports not ready, while requests are still served. Calls @p done when all requests have been
@@ -42,13 +42,13 @@
     void applySettings(const settings::RouteGatewaySettings &settings);
 
 private:
-    explicit RouteGateway(GatewayTools tools);
+    explicit RouteGateway(RouteGatewayTools tools);
     Result<void> open();
     void answerReadiness(const http1::ExchangePtr &exchange) const;
     void answerMetrics(const http1::ExchangePtr &exchange) const;
     void applyLimits();
     void checkDrained();
-    GatewayTools tools_;
+    RouteGatewayTools tools_;
     std::shared_ptr<http1::CallerServer> callers_;
     std::shared_ptr<http1::CallerServer> readiness_;
     std::shared_ptr<http1::CallerServer> metrics_;
--- a/src/forwarding/wireformat.h
+++ b/src/forwarding/wireformat.h
@@ -83,7 +83,7 @@
     /// The head for the caller: the server's, without hop-by-hop fields.
     http1::ResponseHead (*writeAnswer)(const http1::ResponseHead &head) = nullptr;
     /// The head of the call that moves a KV cache; writes its body to @p body.
-    http1::RequestHead (*writeKvMove)(const KvMoveRequest &order, std::string &body) = nullptr;
+    http1::RequestHead (*writeKvMove)(const KvMoveRequest &request, std::string &body) = nullptr;
     /// The handle of the copied KV cache; empty if the move failed.
     std::optional<std::string> (*readKvMove)(const http1::Response &response) = nullptr;
 };
