--- a/src/forwarding/internal/forwarder.cpp
+++ b/src/forwarding/internal/forwarder.cpp
@@ -126,6 +126,7 @@
     }
     const double maxSaved = maxSavedRetries();
     const double granted = maxSaved * grantedFraction();
+    // There is one budget per service, and all its requests share the retries: the service stands in for the customer.
     const double maxSavedPerCustomer = tools_->settings.retrySlack;
     auto retries = retry::RetryBudget::create({tools_->settings.retryRatio, maxSaved, granted, 0, maxSavedPerCustomer});
     return budgets_.emplace(service, ServiceBudget{std::move(retries), granted}).first->second.retries;
--- a/src/forwarding/tests/forwarderlimits_test.cpp
+++ b/src/forwarding/tests/forwarderlimits_test.cpp
@@ -124,7 +124,7 @@
     advance(seconds(4));
     ASSERT_TRUE(limits_->hasRoom("two"));
     useUpRoom("two");
-    // Wait for the server's next turn: right after it, the one that follows is a second away, whatever the start of the clock.
+    // Wait for the server's next permit: right after it, the one that follows is a second away, whatever the start of the clock.
     while (!limits_->hasRoom("two")) {
         advance(milliseconds(1));
     }
