--- a/src/presence/clusterclock.h
+++ b/src/presence/clusterclock.h
@@ -9,18 +9,18 @@
 
 namespace cardamomlift::presence {
 
-/// The offset that most VMs agree on: the median. Empty without offsets.
+/// The median of @p offsets, on which most VMs agree; empty without offsets.
 std::optional<Duration> medianOffset(std::vector<Duration> offsets);
 
-/// The time of day without the jumps that single VMs' clocks make. Each VM knows its own offset from the store's steady
-/// clock; the median over all VMs is taken for true.
+/// A wall clock that does not follow jumps of single VMs' clocks. Each VM measures the offset of its wall clock from the
+/// store's steady clock and sends it in its status; the time is the store's clock plus the median of these offsets.
 class ClusterClock
 {
 public:
     static std::shared_ptr<ClusterClock> create(EventLoop &loop, std::shared_ptr<rows::RowStore> store, std::shared_ptr<Presence> presence);
-    /// Empty until the store has answered once.
+    /// The wall-clock time; empty until the store has answered once.
     std::optional<WallTime> now() const;
-    /// The store's clock now, reckoned from its newest reading.
+    /// The store's steady clock now, extrapolated from its newest reading; empty until the store has answered once.
     std::optional<Duration> storeNow() const;
 
 private:
--- a/src/presence/internal/clusterclock.cpp
+++ b/src/presence/internal/clusterclock.cpp
@@ -6,8 +6,8 @@
 
 namespace {
 
-/// Offsets of VMs that were not heard for longer are left out: their clocks may have been set since.
-constexpr Duration OffsetLife = std::chrono::seconds(10);
+/// Offsets of VMs from which nothing was received for longer are left out: their clocks may have been set since.
+constexpr Duration MaxOffsetAge = std::chrono::seconds(10);
 
 } // namespace
 
@@ -16,9 +16,9 @@
     if (offsets.empty()) {
         return std::nullopt;
     }
-    const auto middle = offsets.begin() + static_cast<std::ptrdiff_t>((offsets.size() - 1) / 2);
-    std::nth_element(offsets.begin(), middle, offsets.end());
-    return *middle;
+    const auto median = offsets.begin() + static_cast<std::ptrdiff_t>((offsets.size() - 1) / 2);
+    std::nth_element(offsets.begin(), median, offsets.end());
+    return *median;
 }
 
 ClusterClock::ClusterClock(EventLoop &loop, std::shared_ptr<rows::RowStore> store, std::shared_ptr<Presence> presence)
@@ -30,13 +30,13 @@
 
 std::shared_ptr<ClusterClock> ClusterClock::create(EventLoop &loop, std::shared_ptr<rows::RowStore> store, std::shared_ptr<Presence> presence)
 {
-    std::shared_ptr<ClusterClock> time(new ClusterClock(loop, std::move(store), std::move(presence)));
-    time->presence_->addStatusContributor([weak = std::weak_ptr<ClusterClock>(time)](Status &status) {
+    std::shared_ptr<ClusterClock> clock(new ClusterClock(loop, std::move(store), std::move(presence)));
+    clock->presence_->addStatusContributor([weak = std::weak_ptr<ClusterClock>(clock)](Status &status) {
         if (const auto self = weak.lock()) {
             status.clockOffset = self->ownOffset();
         }
     });
-    return time;
+    return clock;
 }
 
 std::optional<Duration> ClusterClock::storeNow() const
@@ -67,7 +67,7 @@
     std::vector<Duration> offsets{*own};
     const TimePoint now = loop_.now();
     for (const auto &[instance, peer] : presence_->peers()) {
-        if (peer.heardAt && now - *peer.heardAt <= OffsetLife && peer.status && peer.status->clockOffset) {
+        if (peer.heardAt && now - *peer.heardAt <= MaxOffsetAge && peer.status && peer.status->clockOffset) {
             offsets.push_back(*peer.status->clockOffset);
         }
     }
--- a/src/presence/internal/statusformat.cpp
+++ b/src/presence/internal/statusformat.cpp
@@ -11,31 +11,32 @@
 
 namespace {
 
-/// What changes may unpack to: more than a watch keeps for others, with the names of the fields.
-constexpr std::size_t MostUnpacked = 128 * 1024;
-/// Entries of servers unpack to about five times as much; what unpacks to more is tried again with room for all.
-constexpr std::size_t UsualRatio = 10;
+/// Maximum size of unpacked changes in bytes: more than the changes that a watch keeps for other VMs, including the field names.
+constexpr std::size_t MaxUnpackedSize = 128 * 1024;
+/// Expected compression ratio, used for the first buffer. Server entries unpack to about five times their packed size; changes
+/// that unpack to more than this are tried again with the maximum size.
+constexpr std::size_t ExpectedRatio = 10;
 
-std::uint32_t micros(Duration duration)
+std::uint32_t toMicros(Duration duration)
 {
     return static_cast<std::uint32_t>(std::clamp<std::int64_t>(duration.count(), 0, UINT32_MAX));
 }
 
-std::uint32_t millis(Duration duration)
+std::uint32_t toMillis(Duration duration)
 {
     return static_cast<std::uint32_t>(std::clamp<std::int64_t>(std::chrono::duration_cast<std::chrono::milliseconds>(duration).count(), 0, UINT32_MAX));
 }
 
-/// @p packedDelta: null if there is nothing to tell.
+/// @p packedDelta: the changes to send; null if there are none.
 void addTable(wire::Status &out, const std::string &table, const rows::TableDelta &delta, const PackedDelta *packedDelta)
 {
     auto *entry = out.add_tables();
     entry->set_table(table);
     entry->set_era(delta.version.era);
     entry->set_version(delta.version.number);
-    entry->set_age_us(micros(delta.age));
+    entry->set_age_us(toMicros(delta.age));
     entry->set_changed_at(delta.changedAt);
-    // NOTE Without changes nothing is said of the time before: the receiver may lack some that are not packedDelta.
+    // NOTE Without changes, @c since is the version itself: earlier changes that the receiver may lack are not in the message.
     entry->set_since(delta.version.number);
     if (packedDelta != nullptr && packedDelta->version == delta.version) {
         entry->set_since(packedDelta->since.number);
@@ -46,7 +47,7 @@
     }
 }
 
-/// Empty if the changes can't be read.
+/// Empty if the changes can't be unpacked.
 std::optional<rows::TableDelta> readTable(const wire::TableNews &entry)
 {
     rows::TableDelta delta;
@@ -68,18 +69,18 @@
     return delta;
 }
 
-/// Empty if @p packed is no such text, or unpacks to more than MostUnpacked.
-std::optional<std::string> inflated(std::string_view packed)
+/// Empty if @p packed is not zlib data, or unpacks to more than MaxUnpackedSize.
+std::optional<std::string> decompress(std::string_view packed)
 {
-    for (std::size_t room = std::min(MostUnpacked, packed.size() * UsualRatio);; room = MostUnpacked) {
-        std::string plain(room, '\0');
-        uLongf size = plain.size();
-        const int outcome = uncompress(reinterpret_cast<Bytef *>(plain.data()), &size, reinterpret_cast<const Bytef *>(packed.data()), packed.size());
-        if (outcome == Z_OK) {
-            plain.resize(size);
-            return plain;
+    for (std::size_t capacity = std::min(MaxUnpackedSize, packed.size() * ExpectedRatio);; capacity = MaxUnpackedSize) {
+        std::string unpacked(capacity, '\0');
+        uLongf size = unpacked.size();
+        const int result = uncompress(reinterpret_cast<Bytef *>(unpacked.data()), &size, reinterpret_cast<const Bytef *>(packed.data()), packed.size());
+        if (result == Z_OK) {
+            unpacked.resize(size);
+            return unpacked;
         }
-        if (outcome != Z_BUF_ERROR || room == MostUnpacked) {
+        if (result != Z_BUF_ERROR || capacity == MaxUnpackedSize) {
             return std::nullopt;
         }
     }
@@ -130,10 +131,11 @@
         change->set_version(row.version.number);
         change->set_deleted(row.isDeleted);
     }
-    const std::string plain = list.SerializeAsString();
-    uLongf size = compressBound(plain.size());
+    const std::string serialized = list.SerializeAsString();
+    uLongf size = compressBound(serialized.size());
     std::string packed(size, '\0');
-    if (compress2(reinterpret_cast<Bytef *>(packed.data()), &size, reinterpret_cast<const Bytef *>(plain.data()), plain.size(), Z_BEST_SPEED) != Z_OK) {
+    if (compress2(reinterpret_cast<Bytef *>(packed.data()), &size, reinterpret_cast<const Bytef *>(serialized.data()), serialized.size(), Z_BEST_SPEED)
+        != Z_OK) {
         return {};
     }
     packed.resize(size);
@@ -142,9 +144,9 @@
 
 std::optional<std::vector<rows::Row>> unpackChanges(std::string_view packed, std::uint64_t era)
 {
-    const auto plain = inflated(packed);
+    const auto unpacked = decompress(packed);
     wire::RowChanges list;
-    if (!plain || !list.ParseFromString(*plain)) {
+    if (!unpacked || !list.ParseFromString(*unpacked)) {
         return std::nullopt;
     }
     std::vector<rows::Row> changes;
@@ -167,7 +169,7 @@
     }
     out.set_manifest_version(status.manifestVersion);
     if (status.sinceStoreOutage) {
-        out.set_store_back_us(micros(*status.sinceStoreOutage));
+        out.set_store_back_us(toMicros(*status.sinceStoreOutage));
     }
     if (status.clockOffset) {
         out.set_clock_offset_ms(std::chrono::duration_cast<std::chrono::milliseconds>(*status.clockOffset).count());
@@ -190,9 +192,9 @@
         entry->set_answered(static_cast<float>(server.answered));
         entry->set_failed(static_cast<float>(server.failed));
         entry->set_failed_in_a_row(static_cast<std::uint32_t>(server.failedInARow));
-        entry->set_since_failure_ms(millis(server.sinceFailure));
+        entry->set_since_failure_ms(toMillis(server.sinceFailure));
         if (server.sinceAnswer) {
-            entry->set_since_answer_ms(millis(*server.sinceAnswer));
+            entry->set_since_answer_ms(toMillis(*server.sinceAnswer));
         }
     }
     for (const ServiceLoad &load : status.services) {
@@ -216,7 +218,7 @@
     for (const ServerLimit &limit : status.limits) {
         auto *entry = out.add_limits();
         entry->set_server(limit.server);
-        entry->set_age_ms(millis(limit.age));
+        entry->set_age_ms(toMillis(limit.age));
         if (limit.isLimited) {
             entry->set_per_second(limit.perSecond);
         }
--- a/src/presence/internal/statussummary.cpp
+++ b/src/presence/internal/statussummary.cpp
@@ -9,15 +9,19 @@
 
 namespace {
 
-/// Servers in a summary, those where most work waits and most requests failed: two kilobytes of each datagram between zones.
-constexpr std::size_t MostServers = 64;
-/// Limits of servers in a summary, the newest: each comes again as long as some VM gets answers that name it.
-constexpr std::size_t MostLimits = 64;
-/// Prefixes in a summary. A group of 24 VMs with five requests a second each uses some 100 new ones between two summaries.
-constexpr std::size_t MostPrefixes = 96;
-
-/// A member that was silent for longer has likely ended: what others wait for, as the duty lease, is not said of it.
-constexpr Duration StandingWithin = std::chrono::milliseconds(1500);
+/// Maximum number of servers in a summary: those with the most waiting work, and those with the most failed requests. They take
+/// about two kilobytes of each datagram between zones.
+constexpr std::size_t MaxServers = 64;
+/// Maximum number of server limits in a summary, the newest ones. A limit that is left out is reported again as long as some VM
+/// gets answers that name it.
+constexpr std::size_t MaxLimits = 64;
+/// Maximum number of prefixes in a summary. A group of 24 VMs with five requests a second each uses about 100 new ones between
+/// two summaries.
+constexpr std::size_t MaxPrefixes = 96;
+
+/// A member from which nothing was received for longer has probably stopped. Its leader lease and its store state are left out
+/// of the summary, so that other VMs do not wait for it.
+constexpr Duration MemberAliveWithin = std::chrono::milliseconds(1500);
 
 void addDemands(std::map<std::uint64_t, CustomerDemand> &sums, const Status &status)
 {
@@ -52,16 +56,16 @@
     return std::min(*a, *b);
 }
 
-/// What several VMs have seen of one server, with the times as of now.
-struct ServerViews {
+/// Outcomes of requests to one server at several VMs, with times relative to now.
+struct CombinedOutcomes {
     ServerOutcomes sum;
-    std::vector<std::pair<int, Duration>> failures; ///< In a row at one VM, and the time since the last.
+    std::vector<std::pair<int, Duration>> failures; ///< By VM: failures in a row, and the time since the last one.
 };
 
-void addOutcomes(std::map<std::uint64_t, ServerViews> &views, const MemberStatus &member)
+void addOutcomes(std::map<std::uint64_t, CombinedOutcomes> &combined, const MemberStatus &member)
 {
     for (const ServerOutcomes &outcomes : member.status->outcomes) {
-        ServerViews &view = views[outcomes.server];
+        CombinedOutcomes &view = combined[outcomes.server];
         view.sum.server = outcomes.server;
         view.sum.answered += outcomes.answered;
         view.sum.failed += outcomes.failed;
@@ -74,8 +78,8 @@
     }
 }
 
-// Failures in a row count where no VM of the group has had an answer since.
-ServerOutcomes together(const ServerViews &view)
+// The failures in a row of a VM count only if no VM of the group has had an answer from the server since the last of them.
+ServerOutcomes sumOutcomes(const CombinedOutcomes &view)
 {
     ServerOutcomes sum = view.sum;
     std::optional<Duration> since;
@@ -90,28 +94,28 @@
 }
 
 template<typename Entry, typename Rank>
-void keepLargest(std::vector<Entry> &entries, std::size_t most, Rank rank)
+void keepLargest(std::vector<Entry> &entries, std::size_t maxCount, Rank rank)
 {
     std::sort(entries.begin(), entries.end(), [&rank](const Entry &a, const Entry &b) { return rank(a) > rank(b); });
-    entries.resize(std::min(entries.size(), most));
+    entries.resize(std::min(entries.size(), maxCount));
 }
 
-// The newest word on each server.
+// Keeps the newest limit of each server.
 void addLimits(std::map<std::uint64_t, ServerLimit> &newest, const MemberStatus &member)
 {
     for (ServerLimit limit : member.status->limits) {
         limit.age += member.age;
-        const auto [place, isNew] = newest.try_emplace(limit.server, limit);
-        if (!isNew && limit.age < place->second.age) {
-            place->second = limit;
+        const auto [entry, isNew] = newest.try_emplace(limit.server, limit);
+        if (!isNew && limit.age < entry->second.age) {
+            entry->second = limit;
         }
     }
 }
 
-// The group's part in questions of one VM for all: the lease, and who follows the store.
-void addStanding(Status &summary, const MemberStatus &member)
+// Adds the state by which the leader lease and the store readers are chosen.
+void addLeaseAndStoreState(Status &summary, const MemberStatus &member)
 {
-    if (member.age > StandingWithin) {
+    if (member.age > MemberAliveWithin) {
         return;
     }
     const Status &status = *member.status;
@@ -128,7 +132,7 @@
 }
 
 template<typename Entry>
-void takeValues(std::vector<Entry> &values, const std::map<std::uint64_t, Entry> &entries)
+void appendValues(std::vector<Entry> &values, const std::map<std::uint64_t, Entry> &entries)
 {
     for (const auto &[key, entry] : entries) {
         values.push_back(entry);
@@ -145,40 +149,40 @@
     summary.isDraining = true;
     std::map<std::uint64_t, CustomerDemand> demands;
     std::map<std::uint64_t, ServiceLoad> loads;
-    std::map<std::uint64_t, ServerViews> views;
-    std::map<std::uint64_t, ServerWork> works;
+    std::map<std::uint64_t, CombinedOutcomes> combined;
+    std::map<std::uint64_t, ServerWork> serverWork;
     std::map<std::uint64_t, ServerLimit> limits;
     std::set<std::pair<std::uint64_t, std::uint64_t>> prefixes;
     std::set<std::uint64_t> suspects;
     for (const MemberStatus &member : members) {
         const Status &status = *member.status;
         summary.membersHash ^= nameHash(status.instance + std::to_string(status.incarnation));
-        addStanding(summary, member);
+        addLeaseAndStoreState(summary, member);
         addDemands(demands, status);
         addLoads(loads, status);
-        addOutcomes(views, member);
+        addOutcomes(combined, member);
         addLimits(limits, member);
         for (const ServerWork &work : status.serverWork) {
-            works[work.server].server = work.server;
-            works[work.server].waitingTokens += work.waitingTokens;
+            serverWork[work.server].server = work.server;
+            serverWork[work.server].waitingTokens += work.waitingTokens;
         }
         for (const PrefixUse &use : status.prefixes) {
             prefixes.emplace(use.prefix, use.server);
         }
         suspects.insert(status.suspects.begin(), status.suspects.end());
     }
-    takeValues(summary.demands, demands);
-    takeValues(summary.services, loads);
-    takeValues(summary.serverWork, works);
-    keepLargest(summary.serverWork, MostServers, [](const ServerWork &work) { return work.waitingTokens; });
-    takeValues(summary.limits, limits);
-    keepLargest(summary.limits, MostLimits, [](const ServerLimit &limit) { return -limit.age; });
-    for (const auto &[server, view] : views) {
-        summary.outcomes.push_back(together(view));
+    appendValues(summary.demands, demands);
+    appendValues(summary.services, loads);
+    appendValues(summary.serverWork, serverWork);
+    keepLargest(summary.serverWork, MaxServers, [](const ServerWork &work) { return work.waitingTokens; });
+    appendValues(summary.limits, limits);
+    keepLargest(summary.limits, MaxLimits, [](const ServerLimit &limit) { return -limit.age; });
+    for (const auto &[server, view] : combined) {
+        summary.outcomes.push_back(sumOutcomes(view));
     }
-    keepLargest(summary.outcomes, MostServers, [](const ServerOutcomes &outcomes) { return outcomes.failed; });
+    keepLargest(summary.outcomes, MaxServers, [](const ServerOutcomes &outcomes) { return outcomes.failed; });
     for (const auto &[prefix, server] : prefixes) {
-        if (summary.prefixes.size() < MostPrefixes) {
+        if (summary.prefixes.size() < MaxPrefixes) {
             summary.prefixes.push_back({prefix, server});
         }
     }
--- a/src/presence/internal/tablerelay.cpp
+++ b/src/presence/internal/tablerelay.cpp
@@ -6,24 +6,27 @@
 
 namespace {
 
-/// VMs that follow the store at a time: with three, two may be cut off from it or stop in the same second.
+/// Number of store readers at a time: with three, two may lose the store or stop in the same second.
 constexpr std::size_t StoreReaders = 3;
-/// A peer that was not heard for this long, nor its row seen, does not count: with many VMs a peer that does not follow
-/// tells of itself only every second or two, and some of that is lost. Too short a time makes more VMs follow than needed.
+/// A peer does not count as a possible store reader if neither a status nor its row was received for this long. With many VMs,
+/// a peer that is no store reader sends its status only every second or two, and some of these datagrams are lost. If the time
+/// is too short, more VMs than needed become store readers.
 constexpr Duration HeardWithin = std::chrono::seconds(5);
-/// A VM that follows the store tells all others three times a second; after four rounds without a word it has ended, or can
-/// not be heard.
+/// A store reader sends to all VMs of its group three times a second; after four rounds without a datagram it has stopped or is
+/// cut off.
 constexpr Duration StoreReaderTimeout = std::chrono::milliseconds(1400);
-/// A VM that hears no follower asks the store itself when its knowledge is this old. A server that leaves may get work for
-/// two seconds after the store has said so; with the usual age the VMs knew too late when all followers had ended at once.
+/// A VM that receives nothing from a store reader polls the store itself when its knowledge is this old. A draining server may
+/// get new requests for at most two seconds after the store has it as draining; with the usual maximum age the VMs learned of
+/// that too late when all store readers had stopped at once.
 constexpr Duration MaxAgeWithoutStoreReader = std::chrono::milliseconds(900);
-/// A change that others know is waited for so long: a VM that follows the store tells it in each of its rounds, until it is
-/// known, unless it is too large for a datagram.
+/// How long to wait for a change that another VM knows before the store is polled for it. A store reader sends a change in each
+/// round until the receiver knows it, unless it is too large for a datagram.
 constexpr Duration UndeliveredChangeWait = std::chrono::milliseconds(450);
-/// An outage that ended longer ago says nothing of the entries that are missing now.
+/// An outage of the store is reported in statuses for this long after its end. Entries that are missing later than that are
+/// not missing because of it.
 constexpr Duration OutageReportedFor = std::chrono::seconds(4);
 
-/// A VM for which the store came back less than this ago, or is away, is left out of those that follow it.
+/// A VM for which the store is unavailable, or was less than this long ago, is not chosen as a store reader.
 constexpr Duration RecentOutage = std::chrono::milliseconds(500);
 
 } // namespace
@@ -102,8 +105,8 @@
     return loop_.now() - seenAt <= within && (!peer.status || isUsableSource(*peer.status));
 }
 
-// The first by hash among those that are heard and know the store's state themselves: of few VMs the first three; of many
-// the first VM of each of the first three groups.
+// Store readers are the first by hash among the VMs that were heard from recently and know the state of the store: the first
+// three VMs if all VMs are one group, otherwise the first VM of each of the first three groups.
 bool TableRelay::isStoreReader() const
 {
     const std::uint64_t own = nameHash(presence_->instance());
@@ -119,7 +122,7 @@
     return presence_->groups().empty() ? groupPeersBefore < StoreReaders : groupPeersBefore == 0 && groupsBefore < StoreReaders;
 }
 
-// A VM that is cut off from the store, or knows it only by hearsay that has grown old, is no good as a source.
+// A VM that has lost the store, or whose knowledge of a table is too old, can't supply the others with changes.
 bool TableRelay::isUsableSource(const Status &status) const
 {
     if (status.isDraining || (status.sinceStoreOutage && *status.sinceStoreOutage < RecentOutage)) {
@@ -141,8 +144,8 @@
         if (!lastUnreachableAt || loop_.now() - *lastUnreachableAt > OutageReportedFor) {
             continue;
         }
-        const Duration back = loop_.now() - *lastUnreachableAt;
-        status.sinceStoreOutage = status.sinceStoreOutage ? std::min(*status.sinceStoreOutage, back) : back;
+        const Duration sinceOutage = loop_.now() - *lastUnreachableAt;
+        status.sinceStoreOutage = status.sinceStoreOutage ? std::min(*status.sinceStoreOutage, sinceOutage) : sinceOutage;
     }
 }
 
@@ -159,7 +162,8 @@
     if (!sentNotBefore) {
         return;
     }
-    // NOTE Only with delta: the store may be away for the sender alone, and what others say of it is not in doubt then.
+    // NOTE Only if the status has new changes: the store may be unavailable for the sender alone, and then the entries known
+    // from other VMs are not in doubt.
     if (status.sinceStoreOutage && outageHandler_ && hasNewChanges(status)) {
         outageHandler_(loop_.now() - *status.sinceStoreOutage);
     }
@@ -179,8 +183,8 @@
     }
 }
 
-// NOTE That a VM which does not tell a change is ahead is no reason to ask the store: one that follows will tell it within a
-// round. Only what is too large to be told is asked for, after a while.
+// NOTE A peer that knows a newer version but has not sent the change is no reason to poll the store: a store reader sends the
+// change within a round. The store is polled only for a change that is too large for a datagram, after a delay.
 void TableRelay::offerDelta(WatchEntry &entry, const rows::TableDelta &delta, TimePoint sentNotBefore, bool isFromStoreReader)
 {
     const bool isFromOtherEra = delta.version.era != entry.watch->version().era;
--- a/src/presence/internal/vmgroups.cpp
+++ b/src/presence/internal/vmgroups.cpp
@@ -12,14 +12,14 @@
 
 namespace {
 
-/// So many VMs tell each other all: 23 datagrams a round, some 66 a second.
-constexpr std::size_t OneGroup = 24;
+/// Up to this many VMs form a single group: each sends 23 datagrams a round, about 66 a second.
+constexpr std::size_t MaxSingleGroup = 24;
 
 } // namespace
 
 GroupLayout layoutFor(std::size_t vms, std::size_t zones)
 {
-    if (vms <= OneGroup) {
+    if (vms <= MaxSingleGroup) {
         return {};
     }
     const double groups = std::sqrt(static_cast<double>(vms)) / static_cast<double>(std::max<std::size_t>(1, zones));
@@ -34,9 +34,9 @@
     return std::string(zone) + '/' + std::to_string(nameHash(instance) % layout.groupsPerZone) + '/' + std::to_string(layout.groupsPerZone);
 }
 
-std::uint64_t rendezvousRank(std::string_view asking, std::string_view asked)
+std::uint64_t rendezvousRank(std::string_view requester, std::string_view candidate)
 {
-    return XXH3_64bits_withSeed(asked.data(), asked.size(), nameHash(asking));
+    return XXH3_64bits_withSeed(candidate.data(), candidate.size(), nameHash(requester));
 }
 
 } // namespace cardamomlift::presence
--- a/src/presence/presencemodule.cpp
+++ b/src/presence/presencemodule.cpp
@@ -14,14 +14,15 @@
 
 namespace {
 
-/// Knowledge of the manifest and of backend servers that is older than this is fetched anew. What comes by way of another
-/// VM is up to 2.6 s old when all is well: twice the time a question is held, and two rounds of statuses. It is judged too
-/// old for keys after some 4.6 s.
-constexpr Duration AskAfter = std::chrono::milliseconds(2800);
-/// Rows of entry VMs change seldom. Longer than the store may hold the question and its answer may take.
-constexpr Duration AskAfterForRows = std::chrono::seconds(15);
-
-/// A VM that was heard within this counts as running in the metrics.
+/// This VM polls the store for the manifest and the backend servers when its knowledge of them is older than this. Knowledge
+/// received through another VM is up to 2.6 s old in normal operation: twice the wait of a long poll, and two rounds of
+/// statuses. For API keys, knowledge counts as too old after about 4.6 s.
+constexpr Duration MaxTableAge = std::chrono::milliseconds(2800);
+/// The same for the rows of entry VMs, which change seldom. It is longer than the wait of a long poll and the time to its answer
+/// together.
+constexpr Duration MaxAgeOfVmRows = std::chrono::seconds(15);
+
+/// A VM from which a status was received within this time counts as running in the metrics.
 constexpr Duration HeardWithin = std::chrono::seconds(3);
 
 std::uint64_t drawIncarnation()
@@ -64,22 +65,22 @@
         EventLoop *loop = tools.loop;
         const auto presence = Presence::start(std::move(tools));
         context.set(presence);
-        addGauges(*context.get<metrics::Metrics>(), presence);
+        registerGauges(*context.get<metrics::Metrics>(), presence);
         context.set(ClusterClock::create(*loop, context.get<rows::RowStore>(), presence));
         relayTables(context, *loop, presence);
-        tellManifest(presence, context.get<manifest::ManifestCache>());
+        shareManifestVersion(presence, context.get<manifest::ManifestCache>());
         return success();
     }
 
 private:
-    static void addGauges(metrics::Metrics &metrics, const std::shared_ptr<Presence> &presence)
+    static void registerGauges(metrics::Metrics &metrics, const std::shared_ptr<Presence> &presence)
     {
-        // 0 until all rows have been read.
+        // 0 until the rows of all VMs have been read.
         metrics.gauge("entry_vms_listed", [presence] { return static_cast<double>(presence->vmCount().value_or(0)); });
         metrics.gauge("entry_vms_heard", [presence] { return static_cast<double>(presence->countPeersHeardWithin(HeardWithin)); });
     }
 
-    static void tellManifest(const std::shared_ptr<Presence> &presence, const std::shared_ptr<manifest::ManifestCache> &manifests)
+    static void shareManifestVersion(const std::shared_ptr<Presence> &presence, const std::shared_ptr<manifest::ManifestCache> &manifests)
     {
         presence->addStatusContributor(
             [manifests](Status &status) { status.manifestVersion = manifests->current() ? manifests->current()->manifest().version : 0; });
@@ -90,9 +91,9 @@
     {
         const auto relay = TableRelay::create(loop, presence);
         for (const auto &watch : *context.get<rows::Watches>()) {
-            relay->add(watch, AskAfter);
+            relay->add(watch, MaxTableAge);
         }
-        relay->add(presence->rowWatch(), AskAfterForRows);
+        relay->add(presence->rowWatch(), MaxAgeOfVmRows);
         relay->onOutage([directory = context.get<directory::Directory>(), &loop](TimePoint backAt) { directory->noteOutageUntil(backAt, loop.now()); });
         context.set(relay);
     }
--- a/src/presence/statussummary.h
+++ b/src/presence/statussummary.h
@@ -7,15 +7,16 @@
 
 namespace cardamomlift::presence {
 
-/// The status of one VM of a group, and how long ago it was heard.
+/// The status of one VM of a group, and the time since it was received.
 struct MemberStatus {
     const Status *status = nullptr;
     Duration age{0};
 };
 
-/// What the VMs of a group tell, in one status for the VMs of other groups: sums where sums decide, the union of what
-/// requests were sent where. Left out are the counts of usage, which the holder of the duty lease hears from each VM, and
-/// what is the teller's own: its name, sequence and tables. Sums of different sets of members do not compare.
+/// Summarizes the statuses of a group in one status for the VMs of other groups: sums of demands, loads, outcomes and work, the
+/// newest limit of each server, the union of prefixes and suspects. It leaves out the counts of usage and rollouts, which the
+/// holder of the leader lease gets from each VM, and what belongs to the sending VM: its name, sequence and tables. Sums over
+/// different sets of members are not comparable.
 Status summarize(std::string group, std::span<const MemberStatus> members);
 
 } // namespace cardamomlift::presence
--- a/src/presence/tablerelay.h
+++ b/src/presence/tablerelay.h
@@ -9,33 +9,34 @@
 
 namespace cardamomlift::presence {
 
-/// Spreads what some VMs read from the store to the others, so that the calls to the store do not grow with the VMs. A few
-/// VMs follow the tables there; the others hear of changes, and of how fresh that is, by statuses, and ask the store
-/// themselves only when they hear too little.
+/// Distributes table changes among the entry VMs, so that the number of calls to the store does not grow with the number of
+/// VMs. A few VMs, the store readers, poll the store for changes of the tables. The others get the changes, and the age of the
+/// knowledge that there are no newer ones, with the statuses, and poll the store themselves only if that gets too old.
 class TableRelay : public std::enable_shared_from_this<TableRelay>
 {
 public:
     static std::shared_ptr<TableRelay> create(EventLoop &loop, std::shared_ptr<Presence> presence);
-    /// Relays @p watch. @p maxAge: with knowledge older than this the VM asks the store itself.
+    /// Relays the table of @p watch. @p maxAge: this VM polls the store itself when its knowledge of the table is older.
     void add(std::shared_ptr<rows::RowWatch> watch, Duration maxAge);
-    /// Called before changes are taken from a peer for which the store was away until @p backAt: entries may have lapsed
-    /// meanwhile.
+    /// @p handler is called before changes are applied from a peer for which the store was unavailable until @p backAt: entries
+    /// may have expired in the meantime.
     void onOutage(std::function<void(TimePoint backAt)> handler);
-    /// True if this VM is one of those that follow the store.
+    /// True if this VM is one of the store readers.
     bool isStoreReader() const;
 
 private:
     struct WatchEntry {
         std::shared_ptr<rows::RowWatch> watch;
         Duration maxAge{0};
-        rows::StoreVersion undeliveredVersion; ///< Version of a change that another VM knows and that was not told; known here if the watch has it.
+        /// Version of a change that another VM knows but has not sent; no longer missing once the watch has reached it.
+        rows::StoreVersion undeliveredVersion;
         TimePoint undeliveredSince;
     };
     TableRelay(EventLoop &loop, std::shared_ptr<Presence> presence);
-    /// True if a VM that follows the store was heard lately.
+    /// True if a status of a store reader, or of a group that has one, was received recently.
     bool hearsStoreReader() const;
     Duration storeReaderTimeout() const;
-    /// True if @p peer, a VM or a group, is one that may follow the store.
+    /// True if @p peer, a VM or a group, can be a store reader.
     bool mayBeStoreReader(const Peer &peer) const;
     bool isUsableSource(const Status &status) const;
     bool hasNewChanges(const Status &status) const;
--- a/src/presence/tests/tablerelaytest.h
+++ b/src/presence/tests/tablerelaytest.h
@@ -16,7 +16,7 @@
 namespace cardamomlift::presence {
 
 inline constexpr std::uint64_t FirstIncarnation = 1'000'000;
-inline constexpr Duration AskAfter = std::chrono::milliseconds(2800);
+inline constexpr Duration MaxTableAge = std::chrono::milliseconds(2800);
 
 /// One VM that follows table "t".
 struct Vm {
@@ -75,7 +75,7 @@
         };
         vm.watch = rows::RowWatch::start({loop_.get(), vm.store, log_}, "t", std::chrono::milliseconds(800), std::move(handlers));
         vm.relay = TableRelay::create(*loop_, vm.presence);
-        vm.relay->add(vm.watch, AskAfter);
+        vm.relay->add(vm.watch, MaxTableAge);
         vm.relay->add(vm.presence->rowWatch(), std::chrono::seconds(15));
     }
 
