--- a/src/forwarding/internal/eventsplitter.cpp
+++ b/src/forwarding/internal/eventsplitter.cpp
@@ -13,24 +13,24 @@
 
 std::string EventSplitter::feed(std::string_view bytes)
 {
-    rest_ += bytes;
-    const auto end = rest_.rfind(EventEnd);
-    if (end == std::string::npos && rest_.size() <= LongestEvent) {
+    incompleteEvent_ += bytes;
+    const auto end = incompleteEvent_.rfind(EventEnd);
+    if (end == std::string::npos && incompleteEvent_.size() <= MaxEventBytes) {
         return {};
     }
-    const std::size_t cut = end == std::string::npos ? rest_.size() : end + EventEnd.size();
-    std::string whole = rest_.substr(0, cut);
-    rest_.erase(0, cut);
-    noteEvents(whole);
-    return whole;
+    const std::size_t cut = end == std::string::npos ? incompleteEvent_.size() : end + EventEnd.size();
+    std::string wholeEvents = incompleteEvent_.substr(0, cut);
+    incompleteEvent_.erase(0, cut);
+    scanEvents(wholeEvents);
+    return wholeEvents;
 }
 
-void EventSplitter::noteEvents(std::string_view whole)
+void EventSplitter::scanEvents(std::string_view wholeEvents)
 {
     std::size_t start = 0;
-    while (start < whole.size()) {
-        const std::size_t end = std::min(whole.find('\n', start), whole.size());
-        std::string_view line = whole.substr(start, end - start);
+    while (start < wholeEvents.size()) {
+        const std::size_t end = std::min(wholeEvents.find('\n', start), wholeEvents.size());
+        std::string_view line = wholeEvents.substr(start, end - start);
         start = end + 1;
         if (line.ends_with('\r')) {
             line.remove_suffix(1);
@@ -45,14 +45,14 @@
     }
 }
 
-const std::string &EventSplitter::rest() const
+const std::string &EventSplitter::incompleteEvent() const
 {
-    return rest_;
+    return incompleteEvent_;
 }
 
-void EventSplitter::dropRest()
+void EventSplitter::dropIncompleteEvent()
 {
-    rest_.clear();
+    incompleteEvent_.clear();
 }
 
 const std::string &EventSplitter::lastId() const
--- a/src/forwarding/internal/routegateway.cpp
+++ b/src/forwarding/internal/routegateway.cpp
@@ -13,18 +13,18 @@
 constexpr int StatusUnavailable = 503;
 constexpr int StatusNotFound = 404;
 
-/// Keys are judged by knowledge that is younger than their bound by this: time on the way to a backend server, and late
-/// timers.
+/// The manifest that keys are checked against must be younger than the revocation time by this margin, which covers the way
+/// to a backend server and late timers.
 constexpr Duration KeyMargin = std::chrono::milliseconds(400);
-/// The balancer takes a VM out after two misses a second apart; until then new connections come.
-constexpr Duration BalancerNotices = std::chrono::milliseconds(2600);
-/// The end of the process, and of answers that are still open, comes this long before it would be killed.
+/// The load balancer removes a VM after two failed checks one second apart; until then it opens new connections.
+constexpr Duration BalancerRemovalTime = std::chrono::milliseconds(2600);
+/// The process ends, together with answers that are still open, this long before it would be killed.
 constexpr Duration GraceMargin = std::chrono::milliseconds(700);
 constexpr Duration DrainCheckPeriod = std::chrono::milliseconds(100);
-/// Descriptors left for channels to backend servers, the store, listeners and files.
-constexpr std::size_t OtherDescriptors = 1000;
-/// Of the memory of the process, request bodies may take this part; the program and its channels need the rest.
-constexpr std::size_t BodyMemoryPart = 4;
+/// File descriptors reserved for channels to backend servers, the store, listeners and files.
+constexpr std::size_t ReservedDescriptors = 1000;
+/// Request bodies may use the memory of the process divided by this; the program and its channels need the rest.
+constexpr std::size_t BodyMemoryDivisor = 4;
 
 http1::ResponseHead statusHead(int status)
 {
@@ -40,13 +40,13 @@
     ForwardingSettings result;
     result.zone = zone;
     result.strictKeys = settings.strictKeys;
-    result.keysFreshFor = settings.keyRevocation - KeyMargin;
+    result.maxKeyAge = settings.keyRevocation - KeyMargin;
     result.retryRatio = settings.retryRatio;
     result.retrySlack = settings.retrySlack;
     return result;
 }
 
-RouteGateway::RouteGateway(GatewayTools tools)
+RouteGateway::RouteGateway(RouteGatewayTools tools)
     : tools_(std::move(tools))
 {
 }
@@ -56,7 +56,7 @@
     tools_.loop->cancel(drainTimer_);
 }
 
-Result<std::shared_ptr<RouteGateway>> RouteGateway::create(GatewayTools tools)
+Result<std::shared_ptr<RouteGateway>> RouteGateway::create(RouteGatewayTools tools)
 {
     std::shared_ptr<RouteGateway> gateway(new RouteGateway(std::move(tools)));
     BOOST_OUTCOME_TRY(gateway->open());
@@ -91,16 +91,16 @@
     handlers.onRequest = [this](const http1::ExchangePtr &exchange) {
         answerMetrics(exchange);
     };
-    BOOST_OUTCOME_TRY(page, http1::CallerServer::listen(*tools_.loop, tools_.settings.metrics, limits, handlers));
-    metrics_ = page;
+    BOOST_OUTCOME_TRY(metricsServer, http1::CallerServer::listen(*tools_.loop, tools_.settings.metrics, limits, handlers));
+    metrics_ = metricsServer;
     return success();
 }
 
 void RouteGateway::applyLimits()
 {
     http1::ServerLimits limits;
-    limits.connections = tools_.settings.descriptors > OtherDescriptors * 2 ? tools_.settings.descriptors - OtherDescriptors : OtherDescriptors;
-    limits.bodyBytesHeld = tools_.settings.memoryMegabytes * (1u << 20) / BodyMemoryPart;
+    limits.connections = tools_.settings.descriptors > ReservedDescriptors * 2 ? tools_.settings.descriptors - ReservedDescriptors : ReservedDescriptors;
+    limits.bodyBytesHeld = tools_.settings.memoryMegabytes * (1u << 20) / BodyMemoryDivisor;
     if (const auto current = tools_.manifests->current()) {
         const manifest::CallerLimits &declared = current->manifest().limits;
         limits.read = {declared.headerBytes, declared.bodyBytes};
@@ -145,26 +145,26 @@
         return;
     }
     draining_ = true;
-    drained_ = std::move(done);
-    drainBegan_ = tools_.loop->now();
+    onDrained_ = std::move(done);
+    drainStartedAt_ = tools_.loop->now();
     callers_->beginClosing();
-    tools_.forwarder->beginDrain(drainBegan_ + tools_.settings.grace - GraceMargin);
+    tools_.forwarder->beginDrain(drainStartedAt_ + tools_.settings.grace - GraceMargin);
     tools_.log->write(Event::Stopping, {{Attribute::Open, static_cast<std::int64_t>(callers_->openExchanges())}});
     drainTimer_ = tools_.loop->every(DrainCheckPeriod, [this] { checkDrained(); });
 }
 
 void RouteGateway::checkDrained()
 {
-    const Duration since = tools_.loop->now() - drainBegan_;
-    const bool isIdle = callers_->openExchanges() == 0 && since >= BalancerNotices;
-    if (!isIdle && since < tools_.settings.grace - GraceMargin) {
+    const Duration elapsed = tools_.loop->now() - drainStartedAt_;
+    const bool isIdle = callers_->openExchanges() == 0 && elapsed >= BalancerRemovalTime;
+    if (!isIdle && elapsed < tools_.settings.grace - GraceMargin) {
         return;
     }
     tools_.loop->cancel(drainTimer_);
-    // NOTE The loop goes on for a turn or two: a request that is read now would be sent on and cut.
+    // NOTE The loop runs for another iteration or two: a request read now would be forwarded and then cut off.
     callers_->stopReading();
     tools_.log->write(Event::Stopped, {{Attribute::Open, static_cast<std::int64_t>(callers_->openExchanges())}});
-    drained_();
+    onDrained_();
 }
 
 } // namespace cardamomlift::forwarding
--- a/src/forwarding/tests/fakeversiongate.h
+++ b/src/forwarding/tests/fakeversiongate.h
@@ -7,7 +7,7 @@
 
 namespace cardamomlift::forwarding {
 
-/// What versions may get, set by a test: one version may be on trial, and the next requests may be picked for it.
+/// VersionGate controlled by a test: one version may be on trial, and the next requests may be assigned to it.
 class FakeVersionGate : public VersionGate
 {
 public:
@@ -47,15 +47,15 @@
         open--;
     }
 
-    void noteOutcome(const directory::BackendServer &server, const std::string &, std::optional<Duration> firstByteAfter) override
+    void noteOutcome(const directory::BackendServer &server, const std::string &, std::optional<Duration> timeToFirstByte) override
     {
-        outcomes.push_back(server.version + (firstByteAfter ? " answered" : " failed"));
+        outcomes.push_back(server.version + (timeToFirstByte ? " answered" : " failed"));
     }
 
     std::string versionOnTrial;
     VersionPick nextPick = VersionPick::Usual;
     int cancelledTrials = 0;
-    int open = 0; ///< Sends that are not over.
+    int open = 0; ///< Requests at servers that have not ended.
     std::vector<std::string> outcomes; ///< "version answered" or "version failed", in order.
 };
 
