--- a/src/duties/internal/capacitytarget.cpp
+++ b/src/duties/internal/capacitytarget.cpp
@@ -21,12 +21,12 @@
 constexpr double ShortHalfLifeSeconds = 6;
 /// Half-life of the demand for reclaimable servers, which cost a fifth: they are kept over the pauses between bursts.
 constexpr double LongHalfLifeSeconds = 40;
-/// The target is lowered only when the need is this many servers below it: a server that is stopped ends its requests within
-/// seconds.
+/// The target is lowered only when the need is this many servers below it: a server that is stopped terminates its running
+/// requests within seconds.
 constexpr double Hysteresis = 1.5;
 /// Reclaimable servers, as a multiple of the need: one failure domain after the other may lose them while no new ones are
-/// available, and first tokens come sooner with more of them. At a fifth of the price, 2.2 did better than 1.3 in simulated
-/// days of two deployments (mean share earned of what was due: 0.552 against 0.513, and 0.445 against 0.430).
+/// available, and first tokens come sooner with more of them. At a fifth of the price, 2.2 did better than 1.3 on the days of
+/// two deployments (mean share earned of what was due: 0.552 against 0.513, and 0.445 against 0.430).
 constexpr double ReclaimableReserve = 2.2;
 /// Reclaimable servers to order for each ordinary one that is running at the start. If all are ordered at once, they are
 /// ready some seconds before the first requests, and the ordinary ones, which cost five times as much, can then be stopped.
--- a/src/duties/internal/leaderlease.cpp
+++ b/src/duties/internal/leaderlease.cpp
@@ -16,8 +16,8 @@
 constexpr Duration ExpiryMargin = std::chrono::milliseconds(300);
 /// A VM that takes the lease over waits this much longer than its length.
 constexpr Duration TakeoverMargin = std::chrono::milliseconds(300);
-/// VMs that were heard within this time count as running when a candidate for the lease is chosen, and a holder that was heard within it is
-/// not challenged. With many VMs the time is two of their status periods, as some statuses may be lost.
+/// VMs that were heard within this time count as running when a candidate for the lease is chosen, and a holder that was
+/// heard within it is not challenged. With many VMs the time is two of their status periods, as some statuses may be lost.
 constexpr Duration HeardWithin = std::chrono::milliseconds(1500);
 /// A process that starts first listens this long for VMs that have run longer, and leaves the lease to them. When 90 VMs
 /// started together and each took itself for the first, they made 250 calls to the store for it.
@@ -50,7 +50,7 @@
     raw->tools_.presence->addStatusContributor([weak = std::weak_ptr<LeaderLease>(lease)](presence::Status &status) {
         const auto self = weak.lock();
         status.holdsLease = self && self->holds_ && !self->isShuttingDown_;
-        status.isStoreUnavailable = self && self->lacksStore_;
+        status.isStoreUnavailable = self && self->isStoreUnavailable_;
     });
     raw->tools_.store->eras().onRestored([weak = std::weak_ptr<LeaderLease>(lease)] {
         if (const auto self = weak.lock()) {
@@ -158,8 +158,8 @@
 
 void LeaderLease::onRow(const rows::ReadResult &result)
 {
-    lacksStore_ = result.failure != rows::StoreFailure::None;
-    if (lacksStore_ || writing_ || isShuttingDown_) {
+    isStoreUnavailable_ = result.failure != rows::StoreFailure::None;
+    if (isStoreUnavailable_ || writing_ || isShuttingDown_) {
         return;
     }
     if (holds_) {
@@ -277,7 +277,7 @@
 
 void LeaderLease::onWritten(const LeaseRow &row, TimePoint sentAt, const rows::WriteResult &result, const std::function<void(bool written)> &done)
 {
-    lacksStore_ = result.outcome == rows::WriteOutcome::NotWritten || result.outcome == rows::WriteOutcome::Unknown;
+    isStoreUnavailable_ = result.outcome == rows::WriteOutcome::NotWritten || result.outcome == rows::WriteOutcome::Unknown;
     if (result.outcome == rows::WriteOutcome::Written) {
         if (!holds_) {
             tools_.log->write(Event::LeaseTaken, {{Attribute::Fence, static_cast<std::int64_t>(row.fence)}});
--- a/src/duties/leaderlease.h
+++ b/src/duties/leaderlease.h
@@ -68,7 +68,7 @@
     bool holds_ = false;
     bool writing_ = false;
     bool reading_ = false;
-    bool lacksStore_ = false; ///< The last call to the store for the lease failed.
+    bool isStoreUnavailable_ = false; ///< The last call to the store for the lease failed.
     bool isShuttingDown_ = false; ///< Set by release(); this process never takes the lease again.
     LeaseRow row_;
     rows::StoreVersion version_; ///< Of the row as last written or seen.
