--- a/src/balancing/tests/choose_test.cpp
+++ b/src/balancing/tests/choose_test.cpp
@@ -68,11 +68,11 @@
     }
     EXPECT_EQ(uses.size(), 12U);
     for (const auto &[server, count] : uses) {
-        EXPECT_LT(count, 100) << "twice the even part";
+        EXPECT_LT(count, 100) << "twice the even share";
     }
 }
 
-TEST(Choose, AServerThatComesOrGoesMovesOnlyItsOwnAffinities)
+TEST(Choose, AddingOrRemovingAServerMovesOnlyItsOwnAffinities)
 {
     const Fleet before(12);
     Fleet after(12);
@@ -87,31 +87,31 @@
     EXPECT_EQ(moved, 0);
 }
 
-TEST(Choose, AHotAffinityLeavesItsFullServers)
+TEST(Choose, AHotAffinitySpillsOverToOtherServers)
 {
     Fleet fleet(4);
     std::set<std::size_t> used;
     for (int i = 0; i < 24; i++) {
         const std::size_t server = fleet.pick("hot");
         used.insert(server);
-        fleet.loads[server].openHere++;
+        fleet.loads[server].localOpenRequests++;
     }
     EXPECT_EQ(used.size(), 4U);
     for (const ServerLoad &load : fleet.loads) {
-        EXPECT_LE(load.openHere, 9);
+        EXPECT_LE(load.localOpenRequests, 9);
     }
 }
 
-TEST(Choose, WithoutAffinityTheLeastLoadedIsTaken)
+TEST(Choose, WithoutAffinityTheLeastLoadedServerIsChosen)
 {
     Fleet fleet(3);
-    fleet.loads[0].openHere = 3;
-    fleet.loads[1].openHere = 2;
-    fleet.loads[2].openHere = 1;
+    fleet.loads[0].localOpenRequests = 3;
+    fleet.loads[1].localOpenRequests = 2;
+    fleet.loads[2].localOpenRequests = 1;
     EXPECT_EQ(fleet.pick(""), 2U);
 }
 
-TEST(Choose, VmsWithTheSameViewDoNotAllTakeTheSameServer)
+TEST(Choose, VmsThatKnowTheSameLoadsDoNotAllChooseTheSameServer)
 {
     const Fleet fleet(6);
     std::set<std::size_t> used;
@@ -124,16 +124,16 @@
 TEST(Choose, AFreshReportCountsAnOldOneDoesNot)
 {
     ServerLoad load;
-    load.reported = 8;
+    load.reportedRequests = 8;
     load.reportedAt = Now - milliseconds(200);
-    EXPECT_EQ(estimatedOpen(load, {}, Now), 8);
+    EXPECT_EQ(estimatedOpenRequests(load, {}, Now), 8);
     load.sentSinceReport = 2;
-    EXPECT_EQ(estimatedOpen(load, {}, Now), 10);
+    EXPECT_EQ(estimatedOpenRequests(load, {}, Now), 10);
     load.reportedAt = Now - std::chrono::seconds(10);
-    EXPECT_EQ(estimatedOpen(load, {}, Now), 0);
+    EXPECT_EQ(estimatedOpenRequests(load, {}, Now), 0);
 }
 
-/// A long prompt whose first 20,000 tokens server 0 keeps.
+/// A long prompt whose first 20,000 tokens are cached at server 0.
 struct CachedPrompt {
     CachedPrompt()
         : fleet(3)
@@ -160,37 +160,37 @@
     EXPECT_EQ(CachedPrompt().pick(), 0U);
 }
 
-TEST(Choose, ACachedPromptIsCopiedWhenItsServerHasMoreToReadThanTheCopyCosts)
+TEST(Choose, ACachedPromptIsCopiedWhenItsServerHasMoreToPrefillThanTheCopyCosts)
 {
     CachedPrompt prompt;
-    prompt.fleet.loads[0].promptTokensHere = 7'000;
+    prompt.fleet.loads[0].localWaitingTokens = 7'000;
     EXPECT_EQ(prompt.pick(), 0U) << "copying 20,000 tokens costs more";
-    prompt.fleet.loads[0].promptTokensElsewhere = 3'000;
-    EXPECT_NE(prompt.pick(), 0U) << "what other VMs sent there waits before it too";
+    prompt.fleet.loads[0].peerWaitingTokens = 3'000;
+    EXPECT_NE(prompt.pick(), 0U) << "prompts that other VMs sent there are ahead of it too";
 }
 
-// Few requests are open, and the slots say nothing: one prompt of 40,000 tokens takes a second to read.
-TEST(Choose, LongPromptsThatWaitCountMoreThanOpenRequests)
+// With few open requests the slots don't matter, but the prefill of a prompt of 40,000 tokens takes a second.
+TEST(Choose, WaitingPromptTokensOutweighOpenRequests)
 {
     Fleet fleet(2);
-    fleet.loads[0].openHere = 4;
-    fleet.loads[1].openHere = 1;
-    fleet.loads[1].promptTokensHere = 40'000;
+    fleet.loads[0].localOpenRequests = 4;
+    fleet.loads[1].localOpenRequests = 1;
+    fleet.loads[1].localWaitingTokens = 40'000;
     EXPECT_EQ(fleet.pick(""), 0U);
 }
 
-TEST(Choose, AnOutlierIsTakenOnlyWhenItIsTheLast)
+TEST(Choose, AnOutlierIsChosenOnlyWhenNoOtherServerIsLeft)
 {
     Fleet fleet(2);
     fleet.outliers = {0};
-    fleet.loads[1].openHere = 20;
+    fleet.loads[1].localOpenRequests = 20;
     EXPECT_EQ(fleet.pick(""), 1U);
     fleet.servers.pop_back();
     fleet.loads.pop_back();
     EXPECT_EQ(fleet.pick(""), 0U);
 }
 
-TEST(Choose, NearServersGoFirstAmongEquals)
+TEST(Choose, ServersInTheSameZoneArePreferredAmongEquals)
 {
     Fleet fleet(4);
     for (std::size_t i = 0; i < 3; i++) {
--- a/src/duties/tests/duties_test.cpp
+++ b/src/duties/tests/duties_test.cpp
@@ -5,79 +5,79 @@
 
 namespace {
 
-TEST_F(DutiesTest, OneOfAllHoldsTheLease)
+TEST_F(DutiesTest, ExactlyOneVmHoldsTheLease)
 {
     const Vm one = start("1");
     const Vm two = start("2");
     const Vm three = start("3");
-    pass(seconds(20), [&] { EXPECT_LE(one.lease->mayAct() + two.lease->mayAct() + three.lease->mayAct(), 1); });
-    EXPECT_EQ(one.lease->mayAct() + two.lease->mayAct() + three.lease->mayAct(), 1);
+    pass(seconds(20), [&] { EXPECT_LE(one.lease->isHeld() + two.lease->isHeld() + three.lease->isHeld(), 1); });
+    EXPECT_EQ(one.lease->isHeld() + two.lease->isHeld() + three.lease->isHeld(), 1);
 }
 
-// Of many VMs that start together each would take itself for the one that runs longest.
-TEST_F(DutiesTest, NobodyAsksForTheLeaseBeforeItCanHaveHeardTheOthers)
+// Guards against VMs that start together and each try the lease, as none has yet heard one that has run longer.
+TEST_F(DutiesTest, NoVmTriesTheLeaseBeforeItCanHaveHeardItsPeers)
 {
     const Vm one = start("1");
     const Vm two = start("2");
     pass(milliseconds(700));
     EXPECT_TRUE(rows_->read("duties", {}, 1).rows.empty());
     pass(milliseconds(700));
-    EXPECT_TRUE(one.lease->mayAct() || two.lease->mayAct());
+    EXPECT_TRUE(one.lease->isHeld() || two.lease->isHeld());
 }
 
 TEST_F(DutiesTest, AHolderThatIsCutOffStopsBeforeAnotherActs)
 {
     const Vm one = start("1");
     pass(seconds(1));
-    ASSERT_TRUE(one.lease->mayAct());
+    ASSERT_TRUE(one.lease->isHeld());
     const Vm two = start("2");
     pass(seconds(2));
-    EXPECT_FALSE(two.lease->mayAct());
+    EXPECT_FALSE(two.lease->isHeld());
     one.store->faults.silent = true;
     TimePoint stopped;
     TimePoint taken;
     pass(seconds(15), [&] {
-        EXPECT_FALSE(one.lease->mayAct() && two.lease->mayAct());
-        stopped = one.lease->mayAct() ? loop_->now() : stopped;
-        taken = two.lease->mayAct() && taken == TimePoint() ? loop_->now() : taken;
+        EXPECT_FALSE(one.lease->isHeld() && two.lease->isHeld());
+        stopped = one.lease->isHeld() ? loop_->now() : stopped;
+        taken = two.lease->isHeld() && taken == TimePoint() ? loop_->now() : taken;
     });
-    EXPECT_TRUE(two.lease->mayAct());
+    EXPECT_TRUE(two.lease->isHeld());
     EXPECT_GT(taken, stopped);
     EXPECT_GT(two.lease->fence(), one.lease->fence());
 }
 
-// The first by name is the holder, and is turned away by the store while the others hear it.
-TEST_F(DutiesTest, AVmThatTheStoreTurnsAwayDoesNotKeepTheOthersFromTheLease)
+// The holder can no longer reach the store, but its peers still hear it: they must not wait for it to renew the lease.
+TEST_F(DutiesTest, AVmThatTheStoreRefusesDoesNotBlockATakeover)
 {
     const Vm one = start("1");
     pass(seconds(1));
-    ASSERT_TRUE(one.lease->mayAct());
+    ASSERT_TRUE(one.lease->isHeld());
     const Vm two = start("2");
     one.datagrams->connected = {two.datagrams.get()};
     two.datagrams->connected = {one.datagrams.get()};
     pass(seconds(2));
     one.store->faults.down = true;
-    pass(Lease * 3, [&] { EXPECT_FALSE(one.lease->mayAct() && two.lease->mayAct()); });
-    EXPECT_TRUE(two.lease->mayAct());
+    pass(Lease * 3, [&] { EXPECT_FALSE(one.lease->isHeld() && two.lease->isHeld()); });
+    EXPECT_TRUE(two.lease->isHeld());
     one.store->faults.down = false;
-    pass(seconds(5), [&] { EXPECT_FALSE(one.lease->mayAct() && two.lease->mayAct()); });
-    EXPECT_TRUE(two.lease->mayAct()) << "it keeps what it has";
+    pass(seconds(5), [&] { EXPECT_FALSE(one.lease->isHeld() && two.lease->isHeld()); });
+    EXPECT_TRUE(two.lease->isHeld()) << "the new holder keeps the lease";
 }
 
 TEST_F(DutiesTest, AHolderThatStartsAgainTakesItsLeaseAtOnce)
 {
     Vm one = start("1");
     pass(seconds(1));
-    ASSERT_TRUE(one.lease->mayAct());
+    ASSERT_TRUE(one.lease->isHeld());
     const std::uint64_t fence = one.lease->fence();
     one = Vm();
     const Vm again = start("1");
     pass(seconds(2));
-    EXPECT_TRUE(again.lease->mayAct()) << "nobody else can act before, and its earlier process is over";
+    EXPECT_TRUE(again.lease->isHeld()) << "nobody else can hold the lease yet, and the earlier process of this VM has ended";
     EXPECT_GT(again.lease->fence(), fence);
 }
 
-// The holder and another are killed and start again: the one that went on has heard the counts of both.
+// The holder is killed and restarts. The VM that kept running takes the lease, as it has received the usage counts of both.
 TEST_F(DutiesTest, TheVmThatRanLongestTakesTheLeaseOver)
 {
     Vm one = start("1");
@@ -89,22 +89,22 @@
     };
     connect(one, two);
     pass(seconds(5));
-    ASSERT_TRUE(one.lease->mayAct());
+    ASSERT_TRUE(one.lease->isHeld());
     two.datagrams->connected.clear();
     one = Vm();
     one = start("1");
     connect(one, two);
-    pass(seconds(6), [&] { EXPECT_FALSE(one.lease->mayAct()); });
-    EXPECT_TRUE(two.lease->mayAct());
+    pass(seconds(6), [&] { EXPECT_FALSE(one.lease->isHeld()); });
+    EXPECT_TRUE(two.lease->isHeld());
 }
 
-TEST_F(DutiesTest, AHolderThatWasSuspendedKnowsItBeforeItActs)
+TEST_F(DutiesTest, AHolderThatWasSuspendedSeesThatItsLeaseExpired)
 {
     const Vm one = start("1");
     pass(seconds(1));
-    ASSERT_TRUE(one.lease->mayAct());
+    ASSERT_TRUE(one.lease->isHeld());
     clock_.advance(Lease);
-    EXPECT_FALSE(one.lease->mayAct()) << "no timer has run since";
+    EXPECT_FALSE(one.lease->isHeld()) << "no timer has run since";
 }
 
 TEST_F(DutiesTest, LostAnswersOfRenewalsDoNotMakeTwoHolders)
@@ -113,10 +113,10 @@
     pass(seconds(1));
     const Vm two = start("2");
     one.store->faults.loseAnswers = true;
-    pass(seconds(8), [&] { EXPECT_FALSE(one.lease->mayAct() && two.lease->mayAct()); });
+    pass(seconds(8), [&] { EXPECT_FALSE(one.lease->isHeld() && two.lease->isHeld()); });
     one.store->faults.loseAnswers = false;
-    pass(seconds(8), [&] { EXPECT_FALSE(one.lease->mayAct() && two.lease->mayAct()); });
-    EXPECT_EQ(one.lease->mayAct() + two.lease->mayAct(), 1);
+    pass(seconds(8), [&] { EXPECT_FALSE(one.lease->isHeld() && two.lease->isHeld()); });
+    EXPECT_EQ(one.lease->isHeld() + two.lease->isHeld(), 1);
 }
 
 TEST_F(DutiesTest, AReleasedLeaseIsTakenWithoutWaiting)
@@ -127,8 +127,8 @@
     pass(seconds(1));
     one.lease->release();
     pass(seconds(4));
-    EXPECT_FALSE(one.lease->mayAct());
-    EXPECT_TRUE(two.lease->mayAct());
+    EXPECT_FALSE(one.lease->isHeld());
+    EXPECT_TRUE(two.lease->isHeld());
 }
 
 TEST_F(DutiesTest, ALeaseThatCouldNotBeReleasedInAnOutageIsReleasedAfterIt)
@@ -137,20 +137,20 @@
     pass(seconds(1));
     const Vm two = start("2");
     pass(seconds(2));
-    ASSERT_TRUE(one.lease->mayAct());
+    ASSERT_TRUE(one.lease->isHeld());
     one.store->faults.down = true;
     two.store->faults.down = true;
     one.lease->release();
     pass(seconds(2));
-    EXPECT_FALSE(one.lease->mayAct());
+    EXPECT_FALSE(one.lease->isHeld());
     one.store->faults.down = false;
     two.store->faults.down = false;
     pass(seconds(1));
-    EXPECT_TRUE(two.lease->mayAct());
-    EXPECT_FALSE(one.lease->mayAct());
+    EXPECT_TRUE(two.lease->isHeld());
+    EXPECT_FALSE(one.lease->isHeld());
 }
 
-TEST_F(DutiesTest, WhoGaveTheLeaseUpDoesNotTellTheOthersToWait)
+TEST_F(DutiesTest, AVmThatReleasedTheLeaseDoesNotAdvertiseIt)
 {
     const Vm one = start("1");
     pass(seconds(1));
@@ -214,7 +214,7 @@
     Vm two = start("2");
     startReports(two);
     pass(seconds(3));
-    EXPECT_TRUE(two.lease->mayAct());
+    EXPECT_TRUE(two.lease->isHeld());
     for (const auto &[window, reports] : reportedBefore) {
         EXPECT_EQ(record_.reports[window].size(), reports.size()) << window;
     }
@@ -233,11 +233,12 @@
     EXPECT_GE(record_.reports.size(), before + 2);
 }
 
-TEST_F(DutiesTest, AReporterThatMeetsABusyLeaseWaits)
+TEST_F(DutiesTest, AReporterWaitsWhileTheLeaseIsBeingWritten)
 {
     Vm one = start("1");
     startReports(one);
-    // While a renewal is without answer, a report comes due: it once asked the lease again and again until the stack ended.
+    // Guards against a report that comes due while a renewal is unanswered: the reporter used to retry the refused write
+    // recursively until the stack overflowed.
     for (int i = 0; i < 40; i++) {
         one.store->faults.loseAnswers = true;
         pass(milliseconds(1700));
@@ -247,7 +248,7 @@
     EXPECT_FALSE(record_.reports.empty());
 }
 
-TEST(LeaseRow, KeepsAllParts)
+TEST(LeaseRow, KeepsAllFieldsWhenEncodedAndDecoded)
 {
     LeaseRow row;
     row.holder = "vm";
--- a/src/forwarding/internal/forwardedrequestend.cpp
+++ b/src/forwarding/internal/forwardedrequestend.cpp
@@ -1,5 +1,5 @@
 #include "forwarding/internal/forwardedrequest.h"
-#include "forwarding/internal/forwardinglimits.h"
+#include "forwarding/internal/forwardingconstants.h"
 
 #include <fmt/format.h>
 
@@ -42,13 +42,13 @@
         endAttempt(false);
     }
     if (runs_ > 0) {
-        fail(StatusGatewayTimeout, Reason::OutOfTime);
+        fail(StatusGatewayTimeout, FailureReason::OutOfTime);
         return;
     }
-    refuse(StatusUnavailable, Reason::OutOfTime, FullRetryAfter);
+    refuse(StatusUnavailable, FailureReason::OutOfTime, ServersFullRetryAfter);
 }
 
-void ForwardedRequest::onGone()
+void ForwardedRequest::onCallerGone()
 {
     if (finished_) {
         return;
@@ -64,10 +64,10 @@
     finish();
 }
 
-void ForwardedRequest::refuse(int status, Reason reason, Duration retryAfter)
+void ForwardedRequest::refuse(int status, FailureReason reason, Duration retryAfter)
 {
     if (allowanceTaken_) {
-        tools_.allowances->giveBack(*customer_, cost());
+        tools_.allowances->refund(*customer_, cost());
     }
     http1::ResponseHead head;
     head.status = status;
@@ -83,21 +83,21 @@
             {Attribute::Route, route_ ? std::string_view(route_->name) : std::string_view()},
             {Attribute::Customer, customer_ ? std::string_view(customer_->name) : std::string_view()},
             {Attribute::Version, static_cast<std::int64_t>(manifest_ ? manifest_->manifest().version : 0)},
-            {Attribute::AgeMs, age ? milliseconds(*age) : std::int64_t(-1)},
+            {Attribute::AgeMs, age ? toMilliseconds(*age) : std::int64_t(-1)},
             {Attribute::Attempt, std::int64_t(sends_)},
             {Attribute::TookMs, millisecondsSince(exchange_->startedAt())},
-            {Attribute::RetryAfterMs, milliseconds(retryAfter)}});
+            {Attribute::RetryAfterMs, toMilliseconds(retryAfter)}});
     exchange_->answer(std::move(head), {});
     finish();
 }
 
-void ForwardedRequest::fail(int status, Reason reason)
+void ForwardedRequest::fail(int status, FailureReason reason)
 {
     tools_.metrics->add(fmt::format("forwarding_failures_total{{reason=\"{}\"}}", reasonName(reason)));
     tools_.log->write(Event::RequestFailed,
         {{Attribute::Request, request_.id},
             {Attribute::Reason, reasonName(reason)},
-            {Attribute::Status, std::int64_t(streamBegan() ? 0 : status)},
+            {Attribute::Status, std::int64_t(hasStreamStarted() ? 0 : status)},
             {Attribute::Route, route_->name},
             {Attribute::Attempt, std::int64_t(sends_)},
             {Attribute::Events, static_cast<std::int64_t>(splitter_.events())},
@@ -105,7 +105,7 @@
     if (attempt_) {
         endAttempt(false);
     }
-    if (streamBegan()) {
+    if (hasStreamStarted()) {
         exchange_->breakOff();
         finish();
         return;
@@ -156,12 +156,12 @@
             {Attribute::Status, std::int64_t(attempt_->head.status)},
             {Attribute::Attempt, std::int64_t(sends_)},
             {Attribute::Version, static_cast<std::int64_t>(manifest_->manifest().version)},
-            {Attribute::Open, std::int64_t(load.openHere)},
+            {Attribute::Open, std::int64_t(load.localOpenRequests)},
             {Attribute::Tokens, request_.promptTokens},
             {Attribute::Events, static_cast<std::int64_t>(splitter_.events())},
-            {Attribute::FirstEventMs, headPassed_ ? milliseconds(firstEventAt_ - exchange_->startedAt()) : std::int64_t(-1)},
+            {Attribute::FirstEventMs, headSent_ ? toMilliseconds(firstEventAt_ - exchange_->startedAt()) : std::int64_t(-1)},
             {Attribute::TookMs, millisecondsSince(exchange_->startedAt())},
-            {Attribute::LeftMs, milliseconds(timeLeft())}});
+            {Attribute::LeftMs, toMilliseconds(timeLeft())}});
 }
 
 void ForwardedRequest::logDispatch(const Choice &choice) const
@@ -170,7 +170,7 @@
     const auto &load = tools_.pool->load(server.instance);
     const auto age = tools_.manifests->age(tools_.loop->now());
     const auto listAge = tools_.directory->listAge(tools_.loop->now());
-    const auto perSecond = tools_.limits ? tools_.limits->perSecond(server.instance) : std::nullopt;
+    const auto perSecond = tools_.limits ? tools_.limits->requestsPerSecond(server.instance) : std::nullopt;
     const std::string limit = perSecond ? fmt::format("{}", *perSecond) : std::string();
     tools_.log->write(Event::RequestDispatched,
         {{Attribute::Request, request_.id},
@@ -185,31 +185,31 @@
             {Attribute::Outliers, static_cast<std::int64_t>(choice.outliers)},
             {Attribute::Limit, limit},
             {Attribute::Limited, static_cast<std::int64_t>(choice.limited)},
-            {Attribute::Open, std::int64_t(load.openHere)},
-            {Attribute::Reported, std::int64_t(load.reportedAt ? load.reported : -1)},
-            {Attribute::WaitingTokens, load.promptTokensHere},
+            {Attribute::Open, std::int64_t(load.localOpenRequests)},
+            {Attribute::Reported, std::int64_t(load.reportedAt ? load.reportedRequests : -1)},
+            {Attribute::WaitingTokens, load.localWaitingTokens},
             {Attribute::Cached, choice.cachedTokens},
-            {Attribute::ToRead, choice.tokensToRead},
-            {Attribute::Source, choice.fetchFrom},
+            {Attribute::ToRead, choice.prefillTokens},
+            {Attribute::Source, choice.kvFetchFrom},
             {Attribute::ReportAgeMs, load.reportedAt ? millisecondsSince(*load.reportedAt) : std::int64_t(-1)},
             {Attribute::Version, static_cast<std::int64_t>(manifest_->manifest().version)},
-            {Attribute::AgeMs, age ? milliseconds(*age) : std::int64_t(-1)},
+            {Attribute::AgeMs, age ? toMilliseconds(*age) : std::int64_t(-1)},
             {Attribute::Era, static_cast<std::int64_t>(tools_.directory->listVersion().era)},
             {Attribute::ListVersion, static_cast<std::int64_t>(tools_.directory->listVersion().number)},
-            {Attribute::ListAgeMs, listAge ? milliseconds(*listAge) : std::int64_t(-1)},
-            {Attribute::LeftMs, milliseconds(timeLeft())}});
+            {Attribute::ListAgeMs, listAge ? toMilliseconds(*listAge) : std::int64_t(-1)},
+            {Attribute::LeftMs, toMilliseconds(timeLeft())}});
 }
 
-void ForwardedRequest::logAllowance(const AllowanceVerdict &verdict) const
+void ForwardedRequest::logAllowance(const AllowanceDecision &decision) const
 {
     tools_.log->write(Event::AllowanceUsedUp,
         {{Attribute::Request, request_.id},
             {Attribute::Customer, customer_->name},
-            {Attribute::Tokens, verdict.asked},
-            {Attribute::Left, verdict.left},
-            {Attribute::LimitPerSecond, verdict.limitPerSecond},
-            {Attribute::HerePerSecond, verdict.hereAskedPerSecond},
-            {Attribute::ElsewherePerSecond, verdict.elsewhereAskedPerSecond}});
+            {Attribute::Tokens, decision.requested},
+            {Attribute::Left, decision.remaining},
+            {Attribute::LimitPerSecond, decision.limitPerSecond},
+            {Attribute::HerePerSecond, decision.localDemandPerSecond},
+            {Attribute::ElsewherePerSecond, decision.remoteDemandPerSecond}});
 }
 
 } // namespace cardamomlift::forwarding
--- a/src/manifest/tests/manifest_test.cpp
+++ b/src/manifest/tests/manifest_test.cpp
@@ -1,4 +1,4 @@
-#include "manifest/manifestkeeper.h"
+#include "manifest/manifestcache.h"
 
 #include <gtest/gtest.h>
 
@@ -30,7 +30,7 @@
     return route ? route->name : "none";
 }
 
-TEST(ManifestIndex, TakesTheLongestPrefixOfTheHost)
+TEST(ManifestIndex, PrefersTheLongestPrefixOfTheHost)
 {
     Manifest manifest;
     manifest.routes = {
@@ -46,7 +46,7 @@
     EXPECT_EQ(nameOf(index->route("a.example", "")), "none");
 }
 
-TEST(ManifestIndex, FindsTheHolderOfAKey)
+TEST(ManifestIndex, FindsTheCustomerOfAKey)
 {
     Manifest manifest;
     manifest.customers.resize(2);
@@ -55,74 +55,75 @@
     manifest.customers[1].name = "second";
     manifest.customers[1].keys = {"k3"};
     const auto index = ManifestIndex::create(std::move(manifest));
-    EXPECT_EQ(index->customerOfKey("k2")->name, "first");
-    EXPECT_EQ(index->customerOfKey("k3")->name, "second");
-    EXPECT_EQ(index->customerOfKey("k"), nullptr);
+    EXPECT_EQ(index->customerByKey("k2")->name, "first");
+    EXPECT_EQ(index->customerByKey("k3")->name, "second");
+    EXPECT_EQ(index->customerByKey("k"), nullptr);
 }
 
-TEST(ManifestKeeper, NeverGoesBackToAnOlderVersion)
+TEST(ManifestCache, NeverGoesBackToAnOlderVersion)
 {
-    const auto keeper = ManifestKeeper::create();
-    EXPECT_EQ(keeper->current(), nullptr);
-    EXPECT_EQ(keeper->offer(version(5)), OfferOutcome::InForce);
-    EXPECT_EQ(keeper->offer(version(4)), OfferOutcome::Older);
-    EXPECT_EQ(keeper->offer(version(5)), OfferOutcome::Known);
-    EXPECT_EQ(keeper->current()->manifest().version, 5U);
-    EXPECT_EQ(keeper->offer(version(9)), OfferOutcome::InForce);
+    const auto cache = ManifestCache::create();
+    EXPECT_EQ(cache->current(), nullptr);
+    EXPECT_EQ(cache->update(version(5)), UpdateOutcome::Activated);
+    EXPECT_EQ(cache->update(version(4)), UpdateOutcome::Outdated);
+    EXPECT_EQ(cache->update(version(5)), UpdateOutcome::AlreadyActive);
+    EXPECT_EQ(cache->current()->manifest().version, 5U);
+    EXPECT_EQ(cache->update(version(9)), UpdateOutcome::Activated);
 }
 
-TEST(ManifestKeeper, ARequestKeepsTheVersionItBeganWith)
+TEST(ManifestCache, ARequestKeepsTheVersionItBeganWith)
 {
-    const auto keeper = ManifestKeeper::create();
-    keeper->offer(version(1));
-    const ManifestPtr held = keeper->current();
-    keeper->offer(version(2));
+    const auto cache = ManifestCache::create();
+    cache->update(version(1));
+    const ManifestPtr held = cache->current();
+    cache->update(version(2));
     EXPECT_EQ(held->manifest().version, 1U);
 }
 
-TEST(ManifestKeeper, IsFreshOnlyWithinTheBoundOfItsLastProof)
+TEST(ManifestCache, IsFreshOnlyWithinTheBoundOfItsLastConfirmation)
 {
-    const auto keeper = ManifestKeeper::create();
+    const auto cache = ManifestCache::create();
     const TimePoint start(std::chrono::hours(1));
-    EXPECT_FALSE(keeper->isFresh(start, milliseconds(5000)));
-    keeper->confirm(start);
-    EXPECT_TRUE(keeper->isFresh(start + milliseconds(5000), milliseconds(5000)));
-    EXPECT_FALSE(keeper->isFresh(start + milliseconds(5001), milliseconds(5000)));
-    keeper->confirm(start - milliseconds(100));
-    EXPECT_EQ(*keeper->age(start), Duration(0)) << "a late proof of an earlier time takes nothing back";
+    EXPECT_FALSE(cache->isFresh(start, milliseconds(5000)));
+    cache->confirm(start);
+    EXPECT_TRUE(cache->isFresh(start + milliseconds(5000), milliseconds(5000)));
+    EXPECT_FALSE(cache->isFresh(start + milliseconds(5001), milliseconds(5000)));
+    cache->confirm(start - milliseconds(100));
+    EXPECT_EQ(*cache->age(start), Duration(0)) << "a late confirmation of an earlier time changes nothing";
 }
 
-// A store that was restored from a copy without the newest manifest would prove that keys taken away by it are valid.
-TEST(ManifestKeeper, IsNotConfirmedWhileAnotherVmHasANewerOne)
+// Guards against a store that was restored from a copy without the latest manifest: it would confirm the one before as the
+// latest, and with it keys that the latest one revoked.
+TEST(ManifestCache, IsNotConfirmedWhileAnotherVmHasANewerOne)
 {
-    const auto keeper = ManifestKeeper::create();
+    const auto cache = ManifestCache::create();
     const TimePoint start(std::chrono::hours(1));
-    keeper->offer(version(5));
-    keeper->confirm(start);
-    keeper->noteElsewhere(6);
-    keeper->confirm(start + milliseconds(3000));
-    EXPECT_EQ(*keeper->age(start + milliseconds(3000)), milliseconds(3000));
-    keeper->offer(version(6));
-    keeper->confirm(start + milliseconds(4000));
-    EXPECT_EQ(*keeper->age(start + milliseconds(4000)), Duration(0));
-    keeper->noteElsewhere(5);
-    keeper->confirm(start + milliseconds(5000));
-    EXPECT_EQ(*keeper->age(start + milliseconds(5000)), Duration(0)) << "a VM that is behind says nothing";
+    cache->update(version(5));
+    cache->confirm(start);
+    cache->notePeerVersion(6);
+    cache->confirm(start + milliseconds(3000));
+    EXPECT_EQ(*cache->age(start + milliseconds(3000)), milliseconds(3000));
+    cache->update(version(6));
+    cache->confirm(start + milliseconds(4000));
+    EXPECT_EQ(*cache->age(start + milliseconds(4000)), Duration(0));
+    cache->notePeerVersion(5);
+    cache->confirm(start + milliseconds(5000));
+    EXPECT_EQ(*cache->age(start + milliseconds(5000)), Duration(0)) << "a VM with an older version does not prevent it";
 }
 
-// Guards against keys that a manifest took away being proved valid by the one before it.
-TEST(ManifestKeeper, IsNotConfirmedWhileTheNewestCanNotBeRead)
+// Guards against keys being accepted by an old manifest that a newer but unreadable one may have revoked.
+TEST(ManifestCache, IsNotConfirmedWhileTheNewestCanNotBeRead)
 {
-    const auto keeper = ManifestKeeper::create();
+    const auto cache = ManifestCache::create();
     const TimePoint start(std::chrono::hours(1));
-    keeper->offer(version(5));
-    keeper->confirm(start);
-    keeper->noteUnreadable();
-    keeper->confirm(start + milliseconds(3000));
-    EXPECT_EQ(*keeper->age(start + milliseconds(3000)), milliseconds(3000));
-    keeper->offer(version(7));
-    keeper->confirm(start + milliseconds(4000));
-    EXPECT_EQ(*keeper->age(start + milliseconds(4000)), Duration(0));
+    cache->update(version(5));
+    cache->confirm(start);
+    cache->noteUnreadable();
+    cache->confirm(start + milliseconds(3000));
+    EXPECT_EQ(*cache->age(start + milliseconds(3000)), milliseconds(3000));
+    cache->update(version(7));
+    cache->confirm(start + milliseconds(4000));
+    EXPECT_EQ(*cache->age(start + milliseconds(4000)), Duration(0));
 }
 
 } // namespace
--- a/src/outliers/tests/outlierrules_test.cpp
+++ b/src/outliers/tests/outlierrules_test.cpp
@@ -11,9 +11,9 @@
 
 const TimePoint Start(std::chrono::hours(1));
 
-Outcomes outcomesOf(int answered, int failed)
+OutcomeCounts outcomesOf(int answered, int failed)
 {
-    Outcomes outcomes;
+    OutcomeCounts outcomes;
     for (int i = 0; i < failed; i++) {
         note(outcomes, Ending::ServerError, Start);
     }
@@ -25,16 +25,16 @@
 
 TEST(OutlierRules, OneRequestWithoutAnAnswerProvesNothing)
 {
-    Outcomes outcomes = outcomesOf(5, 0);
+    OutcomeCounts outcomes = outcomesOf(5, 0);
     note(outcomes, Ending::NoAnswer, Start);
     EXPECT_FALSE(isOutlier(outcomes, 0, Start));
     note(outcomes, Ending::NoAnswer, Start);
     EXPECT_TRUE(isOutlier(outcomes, 0, Start));
 }
 
-TEST(OutlierRules, ATrialComesLaterWithEachFailureInARowUpToABound)
+TEST(OutlierRules, ATrialIsDelayedByEachConsecutiveFailureUpToABound)
 {
-    Outcomes outcomes;
+    OutcomeCounts outcomes;
     for (int i = 0; i < 2; i++) {
         note(outcomes, Ending::NoAnswer, Start);
     }
@@ -47,64 +47,64 @@
     EXPECT_FALSE(isOutlier(outcomes, 1, Start + milliseconds(5100)));
 }
 
-TEST(OutlierRules, AnAnswerEndsARowOfFailures)
+TEST(OutlierRules, AnAnswerEndsConsecutiveFailures)
 {
-    Outcomes outcomes;
+    OutcomeCounts outcomes;
     note(outcomes, Ending::NoAnswer, Start);
     note(outcomes, Ending::NoAnswer, Start);
     note(outcomes, Ending::Answered, Start);
     EXPECT_FALSE(isOutlier(outcomes, 0, Start));
 }
 
-TEST(OutlierRules, AServerThatFailsHalfOfItsRequestsStandsOutOnlyWhereOthersDoNot)
+TEST(OutlierRules, AServerThatFailsHalfOfItsRequestsIsAnOutlierOnlyWhereOthersDoNot)
 {
-    const Outcomes half = outcomesOf(6, 6);
+    const OutcomeCounts half = outcomesOf(6, 6);
     EXPECT_TRUE(isOutlier(half, 0.05, Start));
     EXPECT_FALSE(isOutlier(half, 0.45, Start));
 }
 
-TEST(OutlierRules, AFailureOrTwoAmongManyAnswersAreNone)
+TEST(OutlierRules, OneOrTwoFailuresAmongManyAnswersMakeNoOutlier)
 {
     EXPECT_FALSE(isOutlier(outcomesOf(30, 1), 0, Start));
     EXPECT_FALSE(isOutlier(outcomesOf(30, 2), 0, Start));
     EXPECT_TRUE(isOutlier(outcomesOf(10, 6), 0, Start));
 }
 
-TEST(OutlierRules, FailuresFadeSoThatAServerIsTriedAgain)
+TEST(OutlierRules, FailuresDecaySoThatAServerIsTriedAgain)
 {
-    const Outcomes half = outcomesOf(6, 6);
+    const OutcomeCounts half = outcomesOf(6, 6);
     EXPECT_FALSE(isOutlier(half, 0.05, Start + seconds(8)));
 }
 
-TEST(OutlierRules, WhatOthersSawCountsUntilAnyVmHasHadAnAnswerSince)
+TEST(OutlierRules, FailuresAtOtherVmsCountUntilAnyVmGetsAnAnswer)
 {
-    Outcomes other;
+    OutcomeCounts other;
     note(other, Ending::NoAnswer, Start);
     note(other, Ending::NoAnswer, Start);
-    const Outcomes nothing;
-    EXPECT_TRUE(isOutlier(together(nothing, {&other, 1}, Start), 0, Start));
-    Outcomes answered;
+    const OutcomeCounts nothing;
+    EXPECT_TRUE(isOutlier(combine(nothing, {&other, 1}, Start), 0, Start));
+    OutcomeCounts answered;
     note(answered, Ending::Answered, Start + milliseconds(10));
     const TimePoint later = Start + milliseconds(20);
-    EXPECT_FALSE(isOutlier(together(answered, {&other, 1}, later), 0, later));
-    const Outcomes others[] = {other, answered};
-    EXPECT_FALSE(isOutlier(together(nothing, others, later), 0, later));
+    EXPECT_FALSE(isOutlier(combine(answered, {&other, 1}, later), 0, later));
+    const OutcomeCounts others[] = {other, answered};
+    EXPECT_FALSE(isOutlier(combine(nothing, others, later), 0, later));
 }
 
-TEST(OutlierRules, OwnFailuresInARowCountWhateverOthersSaw)
+TEST(OutlierRules, OwnConsecutiveFailuresCountWhateverOthersReport)
 {
-    Outcomes own;
+    OutcomeCounts own;
     note(own, Ending::NoAnswer, Start);
     note(own, Ending::NoAnswer, Start);
-    Outcomes answered;
+    OutcomeCounts answered;
     note(answered, Ending::Answered, Start + milliseconds(10));
-    EXPECT_TRUE(isOutlier(together(own, {&answered, 1}, Start + milliseconds(20)), 0, Start + milliseconds(20)));
+    EXPECT_TRUE(isOutlier(combine(own, {&answered, 1}, Start + milliseconds(20)), 0, Start + milliseconds(20)));
 }
 
-TEST(OutlierRules, AFewFailuresOfAServiceAreNotYetUsual)
+TEST(OutlierRules, AFewFailuresOfAServiceDoNotRaiseItsBaseline)
 {
-    EXPECT_LT(usualFailures(outcomesOf(0, 2)), 0.2);
-    EXPECT_GT(usualFailures(outcomesOf(50, 50)), 0.4);
+    EXPECT_LT(baselineFailureRate(outcomesOf(0, 2)), 0.2);
+    EXPECT_GT(baselineFailureRate(outcomesOf(50, 50)), 0.4);
 }
 
 } // namespace
--- a/src/presence/internal/tablerelay.cpp
+++ b/src/presence/internal/tablerelay.cpp
@@ -6,25 +6,28 @@
 
 namespace {
 
-/// VMs that follow the store at a time: with three, two may be cut off from it or stop in the same second.
-constexpr std::size_t Followers = 3;
-/// A peer that was not heard for this long, nor its row seen, does not count: with many VMs a peer that does not follow
-/// tells of itself only every second or two, and some of that is lost. Too short a time makes more VMs follow than needed.
+/// Number of store readers at a time: with three, two may lose the store or stop in the same second.
+constexpr std::size_t StoreReaders = 3;
+/// A peer does not count as a possible store reader if neither a status nor its row was received for this long. With many VMs,
+/// a peer that is no store reader sends its status only every second or two, and some of these datagrams are lost. If the time
+/// is too short, more VMs than needed become store readers.
 constexpr Duration HeardWithin = std::chrono::seconds(5);
-/// A VM that follows the store tells all others three times a second; after four rounds without a word it has ended, or can
-/// not be heard.
-constexpr Duration FollowerHeardWithin = std::chrono::milliseconds(1400);
-/// A VM that hears no follower asks the store itself when its knowledge is this old. A server that leaves may get work for
-/// two seconds after the store has said so; with the usual age the VMs knew too late when all followers had ended at once.
-constexpr Duration AskAfterAlone = std::chrono::milliseconds(900);
-/// A change that others know is waited for so long: a VM that follows the store tells it in each of its rounds, until it is
-/// known, unless it is too large for a datagram.
-constexpr Duration WaitsForChange = std::chrono::milliseconds(450);
-/// An outage that ended longer ago says nothing of the entries that are missing now.
-constexpr Duration OutageTold = std::chrono::seconds(4);
-
-/// A VM for which the store came back less than this ago, or is away, is left out of those that follow it.
-constexpr Duration OutageCounts = std::chrono::milliseconds(500);
+/// A store reader sends to all VMs of its group three times a second; after four rounds without a datagram it has stopped or is
+/// cut off.
+constexpr Duration StoreReaderTimeout = std::chrono::milliseconds(1400);
+/// A VM that receives nothing from a store reader polls the store itself when its knowledge is this old. A draining server may
+/// get new requests for at most two seconds after the store has it as draining; with the usual maximum age the VMs learned of
+/// that too late when all store readers had stopped at once.
+constexpr Duration MaxAgeWithoutStoreReader = std::chrono::milliseconds(900);
+/// How long to wait for a change that another VM knows before the store is polled for it. A store reader sends a change in each
+/// round until the receiver knows it, unless it is too large for a datagram.
+constexpr Duration UndeliveredChangeWait = std::chrono::milliseconds(450);
+/// An outage of the store is reported in statuses for this long after its end. Entries that are missing later than that are
+/// not missing because of it.
+constexpr Duration OutageReportedFor = std::chrono::seconds(4);
+
+/// A VM for which the store is unavailable, or was less than this long ago, is not chosen as a store reader.
+constexpr Duration RecentOutage = std::chrono::milliseconds(500);
 
 } // namespace
 
@@ -38,166 +41,167 @@
 {
     std::shared_ptr<TableRelay> relay(new TableRelay(loop, std::move(presence)));
     const std::weak_ptr<TableRelay> weak = relay;
-    relay->presence_->contribute([weak](Status &status) {
+    relay->presence_->addStatusContributor([weak](Status &status) {
         if (const auto self = weak.lock()) {
             self->fill(status);
         }
     });
-    relay->presence_->onStatus([weak](const Status &status, std::optional<TimePoint> provenAt) {
+    relay->presence_->onStatus([weak](const Status &status, std::optional<TimePoint> sentNotBefore) {
         if (const auto self = weak.lock()) {
-            self->takeStatus(status, provenAt);
+            self->handleStatus(status, sentNotBefore);
         }
     });
-    relay->presence_->setFast([weak] {
+    relay->presence_->setStoreReaderCheck([weak] {
         const auto self = weak.lock();
-        return self && self->follows();
+        return self && self->isStoreReader();
     });
     return relay;
 }
 
-void TableRelay::add(std::shared_ptr<rows::RowWatch> watch, Duration askAfter)
+void TableRelay::add(std::shared_ptr<rows::RowWatch> watch, Duration maxAge)
 {
     const std::weak_ptr<rows::RowWatch> weakWatch = watch;
-    watch->setGate([weak = weak_from_this(), weakWatch, askAfter] {
+    watch->setPollCondition([weak = weak_from_this(), weakWatch, maxAge] {
         const auto self = weak.lock();
         const auto own = weakWatch.lock();
         if (!self || !own) {
             return false;
         }
-        if (self->lacksChange(*own)) {
+        if (self->lacksUndeliveredChange(*own)) {
             return true;
         }
         const auto confirmed = own->confirmedAt();
-        const Duration bound = self->hearsAFollower() ? askAfter : std::min(askAfter, AskAfterAlone);
-        return !confirmed || self->loop_.now() - *confirmed > bound || self->follows();
+        const Duration bound = self->hearsStoreReader() ? maxAge : std::min(maxAge, MaxAgeWithoutStoreReader);
+        return !confirmed || self->loop_.now() - *confirmed > bound || self->isStoreReader();
     });
-    watch->onNews([weak = weak_from_this()] {
+    watch->onStoreChanges([weak = weak_from_this()] {
         if (const auto self = weak.lock()) {
-            self->presence_->sendNow(Reach::All);
+            self->presence_->scheduleChangeBroadcast(BroadcastScope::All);
         }
     });
-    watches_.push_back({std::move(watch), askAfter});
+    watches_.push_back({std::move(watch), maxAge});
 }
 
 void TableRelay::onOutage(std::function<void(TimePoint backAt)> handler)
 {
-    outage_ = std::move(handler);
+    outageHandler_ = std::move(handler);
 }
 
-bool TableRelay::hearsAFollower() const
+bool TableRelay::hearsStoreReader() const
 {
-    const auto heard = presence_->heardLately(followerHeardWithin());
-    return std::any_of(heard.begin(), heard.end(), [](const Peer *peer) { return peer->status->isFast; });
+    const auto heard = presence_->recentlyHeard(storeReaderTimeout());
+    return std::any_of(heard.begin(), heard.end(), [](const Peer *peer) { return peer->status->isStoreReader; });
 }
 
-Duration TableRelay::followerHeardWithin() const
+Duration TableRelay::storeReaderTimeout() const
 {
-    return std::max(FollowerHeardWithin, presence_->period() * 2);
+    return std::max(StoreReaderTimeout, presence_->period() * 2);
 }
 
-bool TableRelay::mayFollow(const Peer &peer) const
+bool TableRelay::mayBeStoreReader(const Peer &peer) const
 {
     const TimePoint seenAt = std::max(peer.listedAt, peer.heardAt.value_or(peer.listedAt));
-    const Duration within = peer.status && peer.status->isFast ? followerHeardWithin() : HeardWithin;
-    return loop_.now() - seenAt <= within && (!peer.status || isSource(*peer.status));
+    const Duration within = peer.status && peer.status->isStoreReader ? storeReaderTimeout() : HeardWithin;
+    return loop_.now() - seenAt <= within && (!peer.status || isUsableSource(*peer.status));
 }
 
-// The first by hash among those that are heard and know the store's state themselves: of few VMs the first three; of many
-// the first VM of each of the first three groups.
-bool TableRelay::follows() const
+// Store readers are the first by hash among the VMs that were heard from recently and know the state of the store: the first
+// three VMs if all VMs are one group, otherwise the first VM of each of the first three groups.
+bool TableRelay::isStoreReader() const
 {
     const std::uint64_t own = nameHash(presence_->instance());
     const std::uint64_t ownGroup = nameHash(presence_->group());
-    std::size_t matesBefore = 0;
+    std::size_t groupPeersBefore = 0;
     for (const auto &[instance, peer] : presence_->peers()) {
-        matesBefore += peer.group == presence_->group() && nameHash(instance) < own && mayFollow(peer) ? 1 : 0;
+        groupPeersBefore += peer.group == presence_->group() && nameHash(instance) < own && mayBeStoreReader(peer) ? 1 : 0;
     }
     std::size_t groupsBefore = 0;
     for (const auto &[name, group] : presence_->groups()) {
-        groupsBefore += nameHash(name) < ownGroup && mayFollow(group) ? 1 : 0;
+        groupsBefore += nameHash(name) < ownGroup && mayBeStoreReader(group) ? 1 : 0;
     }
-    return presence_->groups().empty() ? matesBefore < Followers : matesBefore == 0 && groupsBefore < Followers;
+    return presence_->groups().empty() ? groupPeersBefore < StoreReaders : groupPeersBefore == 0 && groupsBefore < StoreReaders;
 }
 
-// A VM that is cut off from the store, or knows it only by hearsay that has grown old, is no good as a source.
-bool TableRelay::isSource(const Status &status) const
+// A VM that has lost the store, or whose knowledge of a table is too old, can't supply the others with changes.
+bool TableRelay::isUsableSource(const Status &status) const
 {
-    if (status.isDraining || (status.storeBack && *status.storeBack < OutageCounts)) {
+    if (status.isDraining || (status.sinceStoreOutage && *status.sinceStoreOutage < RecentOutage)) {
         return false;
     }
-    return std::all_of(watches_.begin(), watches_.end(), [&status](const Entry &entry) {
+    return std::all_of(watches_.begin(), watches_.end(), [&status](const WatchEntry &entry) {
         const auto found = status.tables.find(entry.watch->table());
-        return found != status.tables.end() && found->second.age <= entry.askAfter && found->second.version.era >= entry.watch->version().era;
+        return found != status.tables.end() && found->second.age <= entry.maxAge && found->second.version.era >= entry.watch->version().era;
     });
 }
 
 void TableRelay::fill(Status &status) const
 {
-    for (const auto &[watch, askAfter, lacked, lackedSince] : watches_) {
-        if (auto news = watch->news()) {
-            status.tables[watch->table()] = std::move(*news);
+    for (const auto &[watch, maxAge, undeliveredVersion, undeliveredSince] : watches_) {
+        if (auto delta = watch->delta()) {
+            status.tables[watch->table()] = std::move(*delta);
         }
-        const auto lostUntil = watch->lostUntil();
-        if (!lostUntil || loop_.now() - *lostUntil > OutageTold) {
+        const auto lastUnreachableAt = watch->lastUnreachableAt();
+        if (!lastUnreachableAt || loop_.now() - *lastUnreachableAt > OutageReportedFor) {
             continue;
         }
-        const Duration back = loop_.now() - *lostUntil;
-        status.storeBack = status.storeBack ? std::min(*status.storeBack, back) : back;
+        const Duration sinceOutage = loop_.now() - *lastUnreachableAt;
+        status.sinceStoreOutage = status.sinceStoreOutage ? std::min(*status.sinceStoreOutage, sinceOutage) : sinceOutage;
     }
 }
 
-bool TableRelay::bringsNews(const Status &status) const
+bool TableRelay::hasNewChanges(const Status &status) const
 {
-    return std::any_of(watches_.begin(), watches_.end(), [&status](const Entry &entry) {
+    return std::any_of(watches_.begin(), watches_.end(), [&status](const WatchEntry &entry) {
         const auto found = status.tables.find(entry.watch->table());
         return found != status.tables.end() && !found->second.changes.empty() && found->second.version > entry.watch->version();
     });
 }
 
-void TableRelay::takeStatus(const Status &status, std::optional<TimePoint> provenAt)
+void TableRelay::handleStatus(const Status &status, std::optional<TimePoint> sentNotBefore)
 {
-    if (!provenAt) {
+    if (!sentNotBefore) {
         return;
     }
-    // NOTE Only with news: the store may be away for the sender alone, and what others say of it is not in doubt then.
-    if (status.storeBack && outage_ && bringsNews(status)) {
-        outage_(loop_.now() - *status.storeBack);
+    // NOTE Only if the status has new changes: the store may be unavailable for the sender alone, and then the entries known
+    // from other VMs are not in doubt.
+    if (status.sinceStoreOutage && outageHandler_ && hasNewChanges(status)) {
+        outageHandler_(loop_.now() - *status.sinceStoreOutage);
     }
-    bool isNews = false;
-    for (Entry &entry : watches_) {
+    bool isNewChange = false;
+    for (WatchEntry &entry : watches_) {
         const auto found = status.tables.find(entry.watch->table());
         if (found == status.tables.end()) {
             continue;
         }
-        const rows::TableNews &news = found->second;
+        const rows::TableDelta &delta = found->second;
         const auto own = entry.watch->version();
-        takeNews(entry, news, *provenAt, status.isFast && status.summaryOf.empty());
-        isNews = isNews || (entry.watch->version() > own && !news.changes.empty());
+        offerDelta(entry, delta, *sentNotBefore, status.isStoreReader && status.summaryOf.empty());
+        isNewChange = isNewChange || (entry.watch->version() > own && !delta.changes.empty());
     }
-    if (isNews && !presence_->isGroupMate(status.instance)) {
-        presence_->sendNow(Reach::Group);
+    if (isNewChange && !presence_->isInOwnGroup(status.instance)) {
+        presence_->scheduleChangeBroadcast(BroadcastScope::Group);
     }
 }
 
-// NOTE That a VM which does not tell a change is ahead is no reason to ask the store: one that follows will tell it within a
-// round. Only what is too large to be told is asked for, after a while.
-void TableRelay::takeNews(Entry &entry, const rows::TableNews &news, TimePoint provenAt, bool isOfFollower)
+// NOTE A peer that knows a newer version but has not sent the change is no reason to poll the store: a store reader sends the
+// change within a round. The store is polled only for a change that is too large for a datagram, after a delay.
+void TableRelay::offerDelta(WatchEntry &entry, const rows::TableDelta &delta, TimePoint sentNotBefore, bool isFromStoreReader)
 {
-    const bool isOfOtherEra = news.version.era != entry.watch->version().era;
-    if (isOfFollower || isOfOtherEra || !entry.watch->isGap(news)) {
-        entry.watch->offer(news, provenAt);
+    const bool isFromOtherEra = delta.version.era != entry.watch->version().era;
+    if (isFromStoreReader || isFromOtherEra || !entry.watch->hasGap(delta)) {
+        entry.watch->applyDelta(delta, sentNotBefore);
         return;
     }
-    if (entry.lacked <= entry.watch->version()) {
-        entry.lacked = {news.version.era, news.changedAt};
-        entry.lackedSince = loop_.now();
+    if (entry.undeliveredVersion <= entry.watch->version()) {
+        entry.undeliveredVersion = {delta.version.era, delta.changedAt};
+        entry.undeliveredSince = loop_.now();
     }
 }
 
-bool TableRelay::lacksChange(const rows::RowWatch &watch) const
+bool TableRelay::lacksUndeliveredChange(const rows::RowWatch &watch) const
 {
-    const auto entry = std::find_if(watches_.begin(), watches_.end(), [&watch](const Entry &entry) { return entry.watch.get() == &watch; });
-    return entry != watches_.end() && entry->lacked > watch.version() && loop_.now() - entry->lackedSince > WaitsForChange;
+    const auto entry = std::find_if(watches_.begin(), watches_.end(), [&watch](const WatchEntry &entry) { return entry.watch.get() == &watch; });
+    return entry != watches_.end() && entry->undeliveredVersion > watch.version() && loop_.now() - entry->undeliveredSince > UndeliveredChangeWait;
 }
 
 } // namespace cardamomlift::presence
--- a/src/presence/tests/tablerelaytest.h
+++ b/src/presence/tests/tablerelaytest.h
@@ -16,7 +16,7 @@
 namespace cardamomlift::presence {
 
 inline constexpr std::uint64_t FirstIncarnation = 1'000'000;
-inline constexpr Duration AskAfter = std::chrono::milliseconds(2800);
+inline constexpr Duration MaxTableAge = std::chrono::milliseconds(2800);
 
 /// One VM that follows table "t".
 struct Vm {
@@ -59,10 +59,10 @@
         tools.endpoint = {"10.0.0.1", static_cast<std::uint16_t>(1000 + index)};
         tools.incarnation = incarnation;
         vm.datagrams = std::make_shared<TestDatagrams>(network_, tools.endpoint);
-        tools.datagrams = vm.datagrams;
+        tools.socket = vm.datagrams;
         vm.presence = Presence::start(std::move(tools));
         rows::WatchHandlers handlers;
-        handlers.onAll = [&vm](const rows::WholeTable &whole) {
+        handlers.onSnapshot = [&vm](const rows::TableSnapshot &whole) {
             vm.known.clear();
             take(vm, whole.rows);
         };
@@ -71,12 +71,12 @@
         };
         handlers.onConfirmed = [](TimePoint) {
         };
-        handlers.onReachable = [](bool, rows::StoreFailure) {
+        handlers.onReachabilityChanged = [](bool, rows::StoreFailure) {
         };
         vm.watch = rows::RowWatch::start({loop_.get(), vm.store, log_}, "t", std::chrono::milliseconds(800), std::move(handlers));
         vm.relay = TableRelay::create(*loop_, vm.presence);
-        vm.relay->add(vm.watch, AskAfter);
-        vm.relay->add(vm.presence->watch(), std::chrono::seconds(15));
+        vm.relay->add(vm.watch, MaxTableAge);
+        vm.relay->add(vm.presence->rowWatch(), std::chrono::seconds(15));
     }
 
     static void take(Vm &vm, const std::vector<rows::Row> &rows)
@@ -122,7 +122,7 @@
 
     std::size_t following() const
     {
-        return static_cast<std::size_t>(std::count_if(vms_.begin(), vms_.end(), [](const auto &vm) { return vm->relay->follows(); }));
+        return static_cast<std::size_t>(std::count_if(vms_.begin(), vms_.end(), [](const auto &vm) { return vm->relay->isStoreReader(); }));
     }
 
     /// Text that can't be packed into less.
--- a/src/rollout/tests/rolloutkeeper_test.cpp
+++ b/src/rollout/tests/rolloutagent_test.cpp
@@ -1,6 +1,6 @@
-#include "rollout/rolloutkeeper.h"
+#include "rollout/rolloutagent.h"
 
-#include "rollout/tests/evidence.h"
+#include "rollout/tests/outcomecounts.h"
 
 #include <gtest/gtest.h>
 
@@ -17,19 +17,19 @@
 constexpr char Route[] = "route";
 constexpr rows::StoreVersion OrderRow{1, 100};
 
-/// One VM's keeper, whose surroundings the test sets.
-class RolloutKeeperTest : public testing::Test
+/// The agent of one VM. The test controls the store's clock, the age of the records and whether there is a live controller.
+class RolloutAgentTest : public testing::Test
 {
 protected:
-    RolloutKeeperTest()
+    RolloutAgentTest()
     {
         loop_ = std::move(EventLoop::create(clock_).value());
-        orders_ = OrderBook::create();
+        orders_ = OrderCache::create();
         directory_ = directory::Directory::create();
-        KeeperTools tools;
+        AgentTools tools;
         tools.loop = loop_.get();
-        tools.bounds.inForce = true;
-        tools.bounds.exposureSlack = 50;
+        tools.limits.isEnabled = true;
+        tools.limits.exposureSlack = 50;
         tools.instance = "vm-1";
         tools.orders = orders_;
         tools.directory = directory_;
@@ -50,11 +50,11 @@
         tools.recordsConfirmedAt = [this] {
             return std::optional(confirmedAt_);
         };
-        tools.hearsJudge = [this] {
-            return hearsJudge_;
+        tools.hasLiveController = [this] {
+            return hasLiveController_;
         };
         confirmedAt_ = loop_->now();
-        keeper_ = RolloutKeeper::create(std::move(tools));
+        agent_ = RolloutAgent::create(std::move(tools));
         orders_->noteKnownUpTo({1, 50});
         for (const char *name : {"old-1", "old-2"}) {
             list(name, "v1", 10);
@@ -73,8 +73,8 @@
         directory_->put(std::move(server));
     }
 
-    /// Orders v2, whose servers are listed after the order.
-    void order()
+    /// Places an order for v2, whose servers are listed after the order.
+    void placeOrder()
     {
         orders_->put({Service, "v2", seconds(12), OrderRow});
         orders_->noteKnownUpTo({1, 120});
@@ -82,69 +82,69 @@
         list("new-2", "v2", 111);
     }
 
-    static Record recordIn(Phase phase)
+    static Record recordInPhase(Phase phase)
     {
         Record record;
-        record.order = OrderRow;
+        record.orderId = OrderRow;
         record.service = Service;
         record.toVersion = "v2";
         record.phase = phase;
         record.startedAt = seconds(1000);
         record.endsAt = seconds(1012);
-        record.phaseAt = seconds(1002);
+        record.phaseStartedAt = seconds(1002);
         return record;
     }
 
-    void write(Phase phase)
+    void writeRecord(Phase phase)
     {
-        keeper_->takeRecords({{Service, encodeRecord(recordIn(phase)), {1, ++rowVersion_}}});
+        agent_->applyRecords({{Service, encodeRecord(recordInPhase(phase)), {1, ++rowVersion_}}});
     }
 
-    /// The store was restored from a copy with these rows in the table of records.
+    /// Simulates a restore of the store from a copy with these rows in the table of records.
     void restoreRecords(const std::vector<rows::Row> &rows)
     {
-        rows::WholeTable whole;
+        rows::TableSnapshot whole;
         whole.rows = rows;
         whole.version = {2, 180};
         whole.reason = rows::ReadReason::StoreRestored;
-        keeper_->takeAllRecords(whole);
+        agent_->applyAllRecords(whole);
     }
 
     Eligibility eligibility(const std::string &name, VersionPick pick = VersionPick::Usual)
     {
-        return keeper_->eligibility(directory_->findNamed(name)->server, pick);
+        return agent_->eligibility(directory_->findNamed(name)->server, pick);
     }
 
-    /// Of @p requests, those that are picked for the trial.
+    /// How many of @p requests are picked for the trial.
     int picked(int requests)
     {
         int sum = 0;
         for (int i = 0; i < requests; i++) {
-            sum += keeper_->pick(Service, Route) == VersionPick::OnTrial ? 1 : 0;
+            sum += agent_->pick(Service, Route) == VersionPick::OnTrial ? 1 : 0;
         }
         return sum;
     }
 
     ManualClock clock_;
     std::unique_ptr<EventLoop> loop_;
-    std::shared_ptr<OrderBook> orders_;
+    std::shared_ptr<OrderCache> orders_;
     std::shared_ptr<directory::Directory> directory_;
-    std::shared_ptr<RolloutKeeper> keeper_;
+    std::shared_ptr<RolloutAgent> agent_;
     Duration storeNow_ = seconds(1002);
     TimePoint confirmedAt_;
-    bool hearsJudge_ = true;
+    bool hasLiveController_ = true;
     std::uint64_t rowVersion_ = 200;
     std::string lines_;
 };
 
-TEST_F(RolloutKeeperTest, WithoutAnOrderAllServersGetWork)
+TEST_F(RolloutAgentTest, WithoutAnOrderAllServersAreEligible)
 {
     EXPECT_EQ(eligibility("old-1"), Eligibility::Preferred);
     EXPECT_EQ(picked(1000), 0);
 }
 
-// The list may tell of a server before this VM has read the order that it was started for.
-TEST_F(RolloutKeeperTest, AServerOfAnUnknownVersionWaitsUntilItsOrderWouldBeKnown)
+// A server may be listed before this VM has read the order that the server was started for.
+TEST_F(RolloutAgentTest, AServerOfANewVersionIsNotEligibleBeforeItsOrderWouldBeKnown)
 {
     list("new-1", "v2", 110);
     EXPECT_EQ(eligibility("old-1"), Eligibility::Preferred);
@@ -155,7 +155,7 @@
     EXPECT_EQ(eligibility("new-1"), Eligibility::Preferred);
 }
 
-TEST_F(RolloutKeeperTest, AProcessThatHasJustBegunServesByWhatItHas)
+TEST_F(RolloutAgentTest, AStartingProcessUsesUncheckedServersAsFallback)
 {
     list("first", "v1", 110);
     EXPECT_EQ(eligibility("first"), Eligibility::Fallback);
@@ -163,180 +163,180 @@
     EXPECT_EQ(eligibility("first"), Eligibility::Preferred);
 }
 
-TEST_F(RolloutKeeperTest, AnOrderedVersionGetsNothingBeforeItsTrialBegins)
+TEST_F(RolloutAgentTest, AnOrderedVersionGetsNoRequestsBeforeItsTrial)
 {
-    order();
+    placeOrder();
     EXPECT_EQ(eligibility("new-1"), Eligibility::None);
     EXPECT_EQ(picked(1000), 0);
 }
 
-TEST_F(RolloutKeeperTest, ATrialGetsItsPartAndNoMore)
+TEST_F(RolloutAgentTest, ATrialGetsItsShareAndNoMore)
 {
-    order();
-    write(Phase::Trial);
+    placeOrder();
+    writeRecord(Phase::Trial);
     EXPECT_EQ(eligibility("new-1"), Eligibility::None);
     EXPECT_EQ(eligibility("old-1"), Eligibility::Preferred);
-    const int first = picked(1000);
-    EXPECT_GT(first, 70);
-    EXPECT_LE(first, 110);
+    const int onTrial = picked(1000);
+    EXPECT_GT(onTrial, 70);
+    EXPECT_LE(onTrial, 110);
     const bool isPreferred =
         eligibility("new-1", VersionPick::OnTrial) == Eligibility::Preferred || eligibility("new-2", VersionPick::OnTrial) == Eligibility::Preferred;
     EXPECT_TRUE(isPreferred);
     EXPECT_EQ(eligibility("old-1", VersionPick::OnTrial), Eligibility::None);
 }
 
-TEST_F(RolloutKeeperTest, ATrialStopsWithoutFreshKnowledgeWithoutAJudgeAndAtItsEnd)
+TEST_F(RolloutAgentTest, ATrialStopsWithOutdatedRecordsWithoutAControllerAndAtItsEnd)
 {
-    order();
-    write(Phase::Trial);
+    placeOrder();
+    writeRecord(Phase::Trial);
     ASSERT_GT(picked(200), 0);
     clock_.advance(milliseconds(2900));
     EXPECT_EQ(picked(200), 0);
     confirmedAt_ = loop_->now();
     EXPECT_GT(picked(200), 0);
-    hearsJudge_ = false;
+    hasLiveController_ = false;
     EXPECT_EQ(picked(200), 0);
-    hearsJudge_ = true;
+    hasLiveController_ = true;
     storeNow_ = seconds(1012);
     EXPECT_EQ(picked(200), 0);
     EXPECT_NE(lines_.find("\"no_judge\""), std::string::npos);
 }
 
-// The holder of the lease may be gone: what this VM and those that it hears have seen is enough to stop.
-TEST_F(RolloutKeeperTest, ATrialStopsWhenWhatIsKnownHereSpeaksAgainstIt)
+// The lease holder may be unreachable, so the outcomes known to this VM suffice to stop a trial here.
+TEST_F(RolloutAgentTest, ATrialStopsWhenTheKnownOutcomesAreBad)
 {
-    order();
-    write(Phase::Trial);
+    placeOrder();
+    writeRecord(Phase::Trial);
     presence::Status status;
     status.instance = "vm-2";
     status.incarnation = 1;
-    Evidence evidence;
-    addSends(evidence[presence::nameHash(Route)].usual, 300, 3);
-    addSends(evidence[presence::nameHash(Route)].trial[1], 15, 6);
-    addSends(evidence[presence::nameHash(Route)].trial[2], 15, 6);
-    status.rollouts.push_back({presence::nameHash(Service), OrderRow, toTold(evidence), 0});
-    keeper_->takeStatus(status);
+    RolloutOutcomes outcomes;
+    addSends(outcomes[presence::nameHash(Route)].baseline, 300, 3);
+    addSends(outcomes[presence::nameHash(Route)].trial[1], 15, 6);
+    addSends(outcomes[presence::nameHash(Route)].trial[2], 15, 6);
+    status.rollouts.push_back({presence::nameHash(Service), OrderRow, toRolloutCounts(outcomes), 0});
+    agent_->receiveStatus(status);
     EXPECT_GT(picked(200), 0);
-    keeper_->tick();
+    agent_->tick();
     EXPECT_EQ(picked(200), 0);
     EXPECT_NE(lines_.find("\"looks_bad\""), std::string::npos);
 }
 
-TEST_F(RolloutKeeperTest, TrafficMovesAndTheOthersStayForNeed)
+TEST_F(RolloutAgentTest, OtherVersionsAreAFallbackWhileTrafficMoves)
 {
-    order();
-    write(Phase::Moving);
+    placeOrder();
+    writeRecord(Phase::Moving);
     EXPECT_EQ(eligibility("new-1"), Eligibility::Preferred);
     EXPECT_EQ(eligibility("old-1"), Eligibility::Fallback);
     EXPECT_EQ(picked(200), 0);
 }
 
-TEST_F(RolloutKeeperTest, TellsWhenTheOthersStop)
+TEST_F(RolloutAgentTest, ReportsWhenOtherVersionsStop)
 {
-    order();
+    placeOrder();
     std::optional<TimePoint> stopAt;
-    keeper_->onMoving([&stopAt](const Record &, TimePoint at) { stopAt = at; });
+    agent_->onMoving([&stopAt](const Record &, TimePoint at) { stopAt = at; });
     storeNow_ = seconds(1008);
-    write(Phase::Moving);
+    writeRecord(Phase::Moving);
     ASSERT_TRUE(stopAt);
     EXPECT_LE(*stopAt - loop_->now(), milliseconds(4000));
     EXPECT_GE(*stopAt - loop_->now(), milliseconds(2000));
 }
 
-TEST_F(RolloutKeeperTest, ARolledBackVersionGetsNothingAlsoWhereItIsStillListed)
+TEST_F(RolloutAgentTest, ARolledBackVersionGetsNoRequestsWhileItIsListed)
 {
-    order();
-    write(Phase::Trial);
-    write(Phase::RolledBack);
+    placeOrder();
+    writeRecord(Phase::Trial);
+    writeRecord(Phase::RolledBack);
     EXPECT_EQ(eligibility("new-1"), Eligibility::None);
     EXPECT_EQ(eligibility("old-1"), Eligibility::Preferred);
     EXPECT_EQ(picked(200), 0);
-    EXPECT_FALSE(keeper_->isUnderWay(Service));
+    EXPECT_FALSE(agent_->isRolloutInProgress(Service));
 }
 
-TEST_F(RolloutKeeperTest, ALateRecordChangesNothing)
+TEST_F(RolloutAgentTest, AnOutdatedRecordIsIgnored)
 {
-    order();
-    write(Phase::RolledBack);
+    placeOrder();
+    writeRecord(Phase::RolledBack);
     rowVersion_ -= 2;
-    write(Phase::Trial);
+    writeRecord(Phase::Trial);
     EXPECT_EQ(eligibility("new-1"), Eligibility::None);
     EXPECT_EQ(picked(200), 0);
 }
 
-TEST_F(RolloutKeeperTest, CountsWhatRunsAtTheOtherVersions)
+TEST_F(RolloutAgentTest, CountsOpenRequestsAtOtherVersions)
 {
-    order();
-    write(Phase::Moving);
+    placeOrder();
+    writeRecord(Phase::Moving);
     const auto &old = directory_->findNamed("old-1")->server;
-    keeper_->noteSent(old);
-    keeper_->noteSent(old);
-    keeper_->noteEnded(old);
-    keeper_->noteSent(directory_->findNamed("new-1")->server);
-    EXPECT_EQ(keeper_->openAtOthers(Service), 1U);
+    agent_->noteSent(old);
+    agent_->noteSent(old);
+    agent_->noteEnded(old);
+    agent_->noteSent(directory_->findNamed("new-1")->server);
+    EXPECT_EQ(agent_->openAtOtherVersions(Service), 1U);
     presence::Status status;
     status.instance = "vm-2";
     status.rollouts.push_back({presence::nameHash(Service), OrderRow, {}, 5});
-    keeper_->takeStatus(status);
-    EXPECT_EQ(keeper_->openAtOthers(Service), 6U);
+    agent_->receiveStatus(status);
+    EXPECT_EQ(agent_->openAtOtherVersions(Service), 6U);
     clock_.advance(seconds(4));
-    EXPECT_EQ(keeper_->openAtOthers(Service), 1U);
+    EXPECT_EQ(agent_->openAtOtherVersions(Service), 1U);
 }
 
-TEST_F(RolloutKeeperTest, TellsWhatRequestsCameToSinceTheTrialBegan)
+TEST_F(RolloutAgentTest, ReportsOutcomesSinceTheTrialBegan)
 {
-    order();
+    placeOrder();
     const auto server = directory_->findNamed("new-1")->server;
-    keeper_->noteOutcome(server, Route, std::nullopt);
-    write(Phase::Trial);
-    keeper_->noteOutcome(server, Route, milliseconds(20));
-    keeper_->noteOutcome(directory_->findNamed("old-1")->server, Route, std::nullopt);
+    agent_->noteOutcome(server, Route, std::nullopt);
+    writeRecord(Phase::Trial);
+    agent_->noteOutcome(server, Route, milliseconds(20));
+    agent_->noteOutcome(directory_->findNamed("old-1")->server, Route, std::nullopt);
     presence::Status status;
-    keeper_->fill(status);
+    agent_->fillStatus(status);
     ASSERT_EQ(status.rollouts.size(), 1U);
-    const Evidence told = fromTold(status.rollouts[0].counts);
-    const RouteEvidence &route = told.at(presence::nameHash(Route));
-    EXPECT_EQ(route.usual.failed, 1U);
+    const RolloutOutcomes reported = fromRolloutCounts(status.rollouts[0].counts);
+    const RouteOutcomes &route = reported.at(presence::nameHash(Route));
+    EXPECT_EQ(route.baseline.failed, 1U);
     EXPECT_EQ(route.trial.at(presence::nameHash("new-1")).total(), 1U);
 }
 
-// A version that was rolled back in the time that the copy lacks would be tried once more.
-TEST_F(RolloutKeeperTest, ARecordDoesNotGoBackWithTheStore)
+// If the copy is from before a rollback, the version would otherwise be tried once more.
+TEST_F(RolloutAgentTest, ARestoreOfTheStoreDoesNotRevertARecord)
 {
-    order();
-    write(Phase::RolledBack);
-    restoreRecords({{Service, encodeRecord(recordIn(Phase::Trial)), {2, 150}}});
+    placeOrder();
+    writeRecord(Phase::RolledBack);
+    restoreRecords({{Service, encodeRecord(recordInPhase(Phase::Trial)), {2, 150}}});
     EXPECT_EQ(eligibility("new-1"), Eligibility::None);
     EXPECT_EQ(picked(200), 0);
-    EXPECT_TRUE(keeper_->isRecordLost(Service));
-    EXPECT_EQ(keeper_->record(Service)->rowVersion, (rows::StoreVersion{2, 150})) << "what the next step is written on";
-    keeper_->takeRecords({{Service, encodeRecord(recordIn(Phase::RolledBack)), {2, 190}}});
-    EXPECT_FALSE(keeper_->isRecordLost(Service));
+    EXPECT_TRUE(agent_->isRecordLost(Service));
+    EXPECT_EQ(agent_->record(Service)->rowVersion, (rows::StoreVersion{2, 150})) << "the next write is conditional on this version";
+    agent_->applyRecords({{Service, encodeRecord(recordInPhase(Phase::RolledBack)), {2, 190}}});
+    EXPECT_FALSE(agent_->isRecordLost(Service));
 }
 
-// Without its record a version that is not proved would get all requests.
-TEST_F(RolloutKeeperTest, ARecordThatTheCopyLacksIsKept)
+// Without its record, a version that is not shown to be good would get all requests.
+TEST_F(RolloutAgentTest, ARecordThatTheRestoredCopyLacksIsKept)
 {
-    order();
-    write(Phase::Trial);
+    placeOrder();
+    writeRecord(Phase::Trial);
     restoreRecords({});
     EXPECT_EQ(eligibility("new-1"), Eligibility::None);
-    EXPECT_TRUE(keeper_->isRecordLost(Service));
-    EXPECT_EQ(keeper_->record(Service)->rowVersion.number, 0U);
+    EXPECT_TRUE(agent_->isRecordLost(Service));
+    EXPECT_EQ(agent_->record(Service)->rowVersion.number, 0U);
 }
 
-// Each order brings a part of the requests that may go to a version on trial.
-TEST_F(RolloutKeeperTest, AnOrderThatIsWrittenAgainIsTheSame)
+// Each new order grants a new budget of requests to the version on trial.
+TEST_F(RolloutAgentTest, AnOrderThatIsWrittenAgainIsNotANewOrder)
 {
-    order();
-    const auto seen = lines_;
+    placeOrder();
+    const auto linesBefore = lines_;
     orders_->put({Service, "v1", seconds(12), {2, 20}});
-    EXPECT_EQ(orders_->find(Service)->toVersion, "v2") << "an order before it, from the copy";
+    EXPECT_EQ(orders_->find(Service)->toVersion, "v2") << "an earlier order, from the copy";
     orders_->put({Service, "v2", seconds(12), {2, 97}});
     EXPECT_EQ(orders_->find(Service)->id, OrderRow);
-    EXPECT_EQ(lines_, seen) << "nothing was ordered";
+    EXPECT_EQ(lines_, linesBefore) << "no order was logged";
     orders_->put({Service, "v2", seconds(12), {2, 99}});
-    EXPECT_EQ(orders_->find(Service)->id, (rows::StoreVersion{2, 99})) << "ordered once more";
+    EXPECT_EQ(orders_->find(Service)->id, (rows::StoreVersion{2, 99})) << "a new order for the same version";
 }
 
 } // namespace
--- a/src/rows/internal/memoryrowstore.cpp
+++ b/src/rows/internal/memoryrowstore.cpp
@@ -6,15 +6,15 @@
 
 namespace {
 
-/// How often a held question looks for changes.
+/// How often a long poll checks for changes.
 constexpr Duration PollPeriod = std::chrono::milliseconds(20);
-/// When a call without an answer is given up.
+/// Time after which a call without a response fails.
 constexpr Duration AnswerTimeout = std::chrono::seconds(1);
 
-/// The first changes of @p page, @p most or, if a transaction wrote more, as many as that one.
-RowPage firstOf(RowPage page, std::size_t most)
+/// Truncates @p page to its first @p limit changes, or to more where a transaction would be split.
+RowPage truncateChanges(RowPage page, std::size_t limit)
 {
-    std::size_t kept = std::min(most, page.rows.size());
+    std::size_t kept = std::min(limit, page.rows.size());
     while (kept > 0 && kept < page.rows.size() && page.rows[kept].version == page.rows[kept - 1].version) {
         kept++;
     }
@@ -29,8 +29,8 @@
 
 } // namespace
 
-// Rows of the copy belong to the new era too.
-Row MemoryRows::asOfNow(Row row) const
+// After a restore the rows of the copy belong to the new era, too.
+Row MemoryRows::inCurrentEra(Row row) const
 {
     row.version.era = era_;
     return row;
@@ -39,19 +39,19 @@
 WriteResult MemoryRows::transact(const std::vector<RowWrite> &writes)
 {
     WriteResult result;
-    bool holds = true;
+    bool isSatisfied = true;
     for (const RowWrite &write : writes) {
         const auto found = rows_.find({write.table, write.key});
         const std::uint64_t current = found == rows_.end() ? 0 : found->second.version.number;
         if (write.isConditional && current != write.expectedVersion.number) {
-            holds = false;
+            isSatisfied = false;
         }
         if (write.isConditional && found != rows_.end()) {
-            result.current.push_back(asOfNow(found->second));
+            result.current.push_back(inCurrentEra(found->second));
         }
     }
     result.version = version();
-    if (!holds) {
+    if (!isSatisfied) {
         result.outcome = WriteOutcome::Conflict;
         return result;
     }
@@ -80,7 +80,7 @@
             page.hasMore = true;
             break;
         }
-        page.rows.push_back(asOfNow(row->second));
+        page.rows.push_back(inCurrentEra(row->second));
     }
     return page;
 }
@@ -94,7 +94,7 @@
     }
     for (const Change &change : history_) {
         if (change.table == table && change.row.version.number > version.number) {
-            page.rows.push_back(asOfNow(change.row));
+            page.rows.push_back(inCurrentEra(change.row));
         }
     }
     return {StoreFailure::None, page};
@@ -130,30 +130,30 @@
     return std::shared_ptr<MemoryRowStore>(new MemoryRowStore(loop, std::move(rows)));
 }
 
-ReadResult MemoryRowStore::failed(StoreFailure failure, TimePoint askedAt) const
+ReadResult MemoryRowStore::failed(StoreFailure failure, TimePoint sentAt) const
 {
     ReadResult result;
     result.failure = failure;
-    result.askedAt = askedAt;
+    result.sentAt = sentAt;
     return result;
 }
 
 void MemoryRowStore::read(std::string table, std::string from, ReadHandler handler)
 {
     calls++;
-    const TimePoint askedAt = loop_.now();
+    const TimePoint sentAt = loop_.now();
     if (faults.silent) {
         loop_.after(
-            AnswerTimeout, [self = shared_from_this(), askedAt, handler = std::move(handler)] { handler(self->failed(StoreFailure::NoAnswer, askedAt)); });
+            AnswerTimeout, [self = shared_from_this(), sentAt, handler = std::move(handler)] { handler(self->failed(StoreFailure::NoAnswer, sentAt)); });
         return;
     }
-    loop_.post([self = shared_from_this(), table = std::move(table), from = std::move(from), askedAt, handler = std::move(handler)] {
+    loop_.post([self = shared_from_this(), table = std::move(table), from = std::move(from), sentAt, handler = std::move(handler)] {
         if (self->faults.down) {
-            handler(self->failed(StoreFailure::Refused, askedAt));
+            handler(self->failed(StoreFailure::Refused, sentAt));
             return;
         }
         ReadResult result;
-        result.askedAt = askedAt;
+        result.sentAt = sentAt;
         self->eras().note(self->rows_->version().era);
         result.page = self->rows_->read(table, from, self->pageSize);
         result.page.storeTime = self->loop_.now().time_since_epoch();
@@ -164,32 +164,31 @@
 void MemoryRowStore::changes(std::string table, StoreVersion version, Duration wait, ReadHandler handler)
 {
     calls++;
-    const TimePoint askedAt = loop_.now();
+    const TimePoint sentAt = loop_.now();
     if (faults.silent) {
-        loop_.after(wait + AnswerTimeout,
-            [self = shared_from_this(), askedAt, handler = std::move(handler)] { handler(self->failed(StoreFailure::NoAnswer, askedAt)); });
+        loop_.after(
+            wait + AnswerTimeout, [self = shared_from_this(), sentAt, handler = std::move(handler)] { handler(self->failed(StoreFailure::NoAnswer, sentAt)); });
         return;
     }
-    loop_.post([self = shared_from_this(), table = std::move(table), version, askedAt, end = askedAt + wait, handler = std::move(handler)] {
-        self->pollChanges(table, version, askedAt, end, handler);
+    loop_.post([self = shared_from_this(), table = std::move(table), version, sentAt, end = sentAt + wait, handler = std::move(handler)] {
+        self->pollChanges(table, version, sentAt, end, handler);
     });
 }
 
-void MemoryRowStore::pollChanges(const std::string &table, StoreVersion version, TimePoint askedAt, TimePoint end, const ReadHandler &handler)
+void MemoryRowStore::pollChanges(const std::string &table, StoreVersion version, TimePoint sentAt, TimePoint end, const ReadHandler &handler)
 {
     if (faults.down) {
-        handler(failed(StoreFailure::Refused, askedAt));
+        handler(failed(StoreFailure::Refused, sentAt));
         return;
     }
     eras().note(rows_->version().era);
     auto [failure, page] = rows_->changes(table, version);
     if (failure == StoreFailure::None && page.rows.empty() && loop_.now() < end) {
-        loop_.after(
-            PollPeriod, [self = shared_from_this(), table, version, askedAt, end, handler] { self->pollChanges(table, version, askedAt, end, handler); });
+        loop_.after(PollPeriod, [self = shared_from_this(), table, version, sentAt, end, handler] { self->pollChanges(table, version, sentAt, end, handler); });
         return;
     }
-    ReadResult result = failed(failure, askedAt);
-    result.page = firstOf(std::move(page), pageSize);
+    ReadResult result = failed(failure, sentAt);
+    result.page = truncateChanges(std::move(page), pageSize);
     result.page.storeTime = loop_.now().time_since_epoch();
     handler(result);
 }
--- a/src/serverlimits/tests/serverlimitkeeper_test.cpp
+++ b/src/serverlimits/tests/serverratelimiter_test.cpp
@@ -1,4 +1,4 @@
-#include "serverlimits/serverlimitkeeper.h"
+#include "serverlimits/serverratelimiter.h"
 
 #include <gtest/gtest.h>
 
@@ -6,23 +6,23 @@
 
 namespace {
 
-using forwarding::LimitStatement;
+using forwarding::AdvertisedLimit;
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-const LimitStatement Unlimited{LimitStatement::Kind::Unlimited, 0};
-const LimitStatement Unknown{};
+const AdvertisedLimit Unlimited{AdvertisedLimit::Kind::Unlimited, 0};
+const AdvertisedLimit Unknown{};
 
-LimitStatement limited(double perSecond)
+AdvertisedLimit limited(double perSecond)
 {
-    return {LimitStatement::Kind::Limited, perSecond};
+    return {AdvertisedLimit::Kind::Limited, perSecond};
 }
 
-/// Two VMs before one server, on a paused clock.
-class ServerLimitKeeperTest : public testing::Test
+/// Two VMs that send to the same server, on a paused clock.
+class ServerRateLimiterTest : public testing::Test
 {
 protected:
-    ServerLimitKeeperTest()
+    ServerRateLimiterTest()
     {
         loop_ = EventLoop::create(clock_).value();
         log_ = eventlog::EventLog::create(clock_, "test", [this](std::string_view line) {
@@ -43,9 +43,9 @@
         directory_->put(std::move(server));
     }
 
-    std::shared_ptr<ServerLimitKeeper> create(const std::string &vm)
+    std::shared_ptr<ServerRateLimiter> create(const std::string &vm)
     {
-        KeeperTools tools;
+        ServerRateLimiterTools tools;
         tools.loop = loop_.get();
         tools.directory = directory_;
         tools.log = log_;
@@ -56,7 +56,7 @@
         tools.vms = [this] {
             return vms_;
         };
-        return ServerLimitKeeper::create(std::move(tools));
+        return ServerRateLimiter::create(std::move(tools));
     }
 
     void pass(Duration time)
@@ -71,23 +71,23 @@
         return loop_->now();
     }
 
-    /// Requests that a VM may send in some time, if it sends as many as it may.
-    int sent(ServerLimitKeeper &keeper, Duration time)
+    /// Returns the number of requests that a VM can send in @p time.
+    int sendAllowed(ServerRateLimiter &limiter, Duration time)
     {
         int count = 0;
         for (Duration passed(0); passed < time; passed += milliseconds(10)) {
             pass(milliseconds(10));
-            if (keeper.hasRoom("server")) {
-                keeper.noteSent("server");
+            if (limiter.hasRoom("server")) {
+                limiter.noteSent("server");
                 count++;
             }
         }
         return count;
     }
 
-    void tell(const ServerLimitKeeper &from, ServerLimitKeeper &to)
+    void shareLimits(const ServerRateLimiter &from, ServerRateLimiter &to)
     {
-        to.takeTold("peer", from.told());
+        to.applyPeerLimits("peer", from.limitsToShare());
     }
 
     ManualClock clock_;
@@ -97,118 +97,118 @@
     std::shared_ptr<directory::Directory> directory_ = directory::Directory::create();
     bool isClockKnown_ = true;
     std::vector<std::string> vms_{"one", "two"};
-    std::shared_ptr<ServerLimitKeeper> one_;
-    std::shared_ptr<ServerLimitKeeper> two_;
+    std::shared_ptr<ServerRateLimiter> one_;
+    std::shared_ptr<ServerRateLimiter> two_;
 };
 
-TEST_F(ServerLimitKeeperTest, AServerWithoutALimitAlwaysHasRoom)
+TEST_F(ServerRateLimiterTest, AServerWithoutALimitAlwaysHasRoom)
 {
     one_->noteAnswer("server", Unlimited, now());
     EXPECT_TRUE(one_->hasRoom("server"));
-    EXPECT_FALSE(one_->perSecond("server"));
-    EXPECT_TRUE(one_->told().empty());
+    EXPECT_FALSE(one_->requestsPerSecond("server"));
+    EXPECT_TRUE(one_->limitsToShare().empty());
 }
 
-TEST_F(ServerLimitKeeperTest, AVmGetsItsPartOfTheLimit)
+TEST_F(ServerRateLimiterTest, AVmGetsItsShareOfTheLimit)
 {
     one_->noteAnswer("server", limited(1), now());
-    EXPECT_EQ(one_->perSecond("server"), 1);
-    EXPECT_EQ(one_->ownPerSecond("server"), 0.5);
-    EXPECT_NEAR(sent(*one_, seconds(200)), 100, 25);
+    EXPECT_EQ(one_->requestsPerSecond("server"), 1);
+    EXPECT_EQ(one_->ownRequestsPerSecond("server"), 0.5);
+    EXPECT_NEAR(sendAllowed(*one_, seconds(200)), 100, 25);
 }
 
-TEST_F(ServerLimitKeeperTest, AVmHearsOfALimitFromAnother)
+TEST_F(ServerRateLimiterTest, AVmLearnsOfALimitFromAnother)
 {
     one_->noteAnswer("server", limited(1), now());
-    tell(*one_, *two_);
-    EXPECT_EQ(two_->perSecond("server"), 1);
-    EXPECT_TRUE(two_->told().empty()) << "who heard it tells it";
+    shareLimits(*one_, *two_);
+    EXPECT_EQ(two_->requestsPerSecond("server"), 1);
+    EXPECT_TRUE(two_->limitsToShare().empty()) << "only the VM that received the answer shares it";
 }
 
-TEST_F(ServerLimitKeeperTest, TheNewestWordHolds)
+TEST_F(ServerRateLimiterTest, TheLatestAnswerWins)
 {
     one_->noteAnswer("server", limited(1), now());
-    const auto old = one_->told();
+    const auto old = one_->limitsToShare();
     pass(milliseconds(100));
     two_->noteAnswer("server", limited(2), now());
-    two_->takeTold("one", one_->told());
-    EXPECT_EQ(two_->perSecond("server"), 2);
-    tell(*two_, *one_);
-    EXPECT_EQ(one_->perSecond("server"), 2);
-    EXPECT_TRUE(one_->told().empty()) << "its own word is no longer the newest";
+    two_->applyPeerLimits("one", one_->limitsToShare());
+    EXPECT_EQ(two_->requestsPerSecond("server"), 2);
+    shareLimits(*two_, *one_);
+    EXPECT_EQ(one_->requestsPerSecond("server"), 2);
+    EXPECT_TRUE(one_->limitsToShare().empty()) << "its own answer is no longer the latest";
 }
 
-TEST_F(ServerLimitKeeperTest, OnlyAnAnswerToALaterRequestEndsALimit)
+TEST_F(ServerRateLimiterTest, OnlyAnAnswerToALaterRequestEndsALimit)
 {
     const TimePoint before = now();
     pass(milliseconds(100));
     one_->noteAnswer("server", limited(1), now());
     one_->noteAnswer("server", Unlimited, before);
-    EXPECT_TRUE(one_->perSecond("server")) << "that answer may have been made before";
+    EXPECT_TRUE(one_->requestsPerSecond("server")) << "that answer may have been sent before the limit was advertised";
     one_->noteAnswer("server", Unknown, now());
-    EXPECT_TRUE(one_->perSecond("server"));
+    EXPECT_TRUE(one_->requestsPerSecond("server"));
     pass(milliseconds(100));
     one_->noteAnswer("server", Unlimited, now());
-    EXPECT_FALSE(one_->perSecond("server"));
+    EXPECT_FALSE(one_->requestsPerSecond("server"));
     EXPECT_TRUE(one_->hasRoom("server"));
 }
 
-TEST_F(ServerLimitKeeperTest, NewsFromBeforeDoesNotBringALimitBack)
+TEST_F(ServerRateLimiterTest, AnOlderReportDoesNotRestoreALimit)
 {
     one_->noteAnswer("server", limited(1), now());
-    tell(*one_, *two_);
+    shareLimits(*one_, *two_);
     pass(seconds(1));
     two_->noteAnswer("server", Unlimited, now());
-    EXPECT_FALSE(two_->perSecond("server"));
-    tell(*one_, *two_);
-    EXPECT_FALSE(two_->perSecond("server"));
-    tell(*two_, *one_);
-    EXPECT_FALSE(one_->perSecond("server")) << "the end is told too";
+    EXPECT_FALSE(two_->requestsPerSecond("server"));
+    shareLimits(*one_, *two_);
+    EXPECT_FALSE(two_->requestsPerSecond("server"));
+    shareLimits(*two_, *one_);
+    EXPECT_FALSE(one_->requestsPerSecond("server")) << "the end is shared too";
 }
 
-TEST_F(ServerLimitKeeperTest, AnEndThatWasOnItsWayDoesNotEndALimitThatWasNamedAnew)
+TEST_F(ServerRateLimiterTest, ADelayedEndDoesNotEndALimitThatWasAdvertisedAgain)
 {
     one_->noteAnswer("server", limited(1), now());
-    tell(*one_, *two_);
+    shareLimits(*one_, *two_);
     pass(seconds(1));
     one_->noteAnswer("server", Unlimited, now());
-    const auto end = one_->told();
+    const auto end = one_->limitsToShare();
     pass(milliseconds(50));
     two_->noteAnswer("server", limited(1), now());
     pass(milliseconds(100));
-    two_->takeTold("one", end);
-    EXPECT_TRUE(two_->perSecond("server"));
+    two_->applyPeerLimits("one", end);
+    EXPECT_TRUE(two_->requestsPerSecond("server"));
 }
 
-TEST_F(ServerLimitKeeperTest, AnEndIsBelievedAfterFurtherAnswers)
+TEST_F(ServerRateLimiterTest, AnEndIsAcceptedAfterFurtherAnswers)
 {
     one_->noteAnswer("server", limited(1), now());
     pass(milliseconds(100));
     two_->noteAnswer("server", limited(1), now());
     pass(milliseconds(50));
     one_->noteAnswer("server", Unlimited, now());
-    tell(*one_, *two_);
-    EXPECT_TRUE(two_->perSecond("server")) << "it may be the older of the two";
+    shareLimits(*one_, *two_);
+    EXPECT_TRUE(two_->requestsPerSecond("server")) << "it may be older than the limit";
     pass(milliseconds(500));
     one_->noteAnswer("server", Unlimited, now());
-    tell(*one_, *two_);
-    EXPECT_FALSE(two_->perSecond("server"));
+    shareLimits(*one_, *two_);
+    EXPECT_FALSE(two_->requestsPerSecond("server"));
 }
 
-TEST_F(ServerLimitKeeperTest, AnEndIsToldForAWhileOnly)
+TEST_F(ServerRateLimiterTest, AnEndIsSharedForALimitedTime)
 {
     one_->noteAnswer("server", limited(1), now());
     pass(milliseconds(100));
     one_->noteAnswer("server", Unlimited, now());
-    EXPECT_EQ(one_->told().size(), 1U);
+    EXPECT_EQ(one_->limitsToShare().size(), 1U);
     for (int i = 0; i < 20; i++) {
         pass(seconds(1));
         one_->noteAnswer("server", Unlimited, now());
     }
-    EXPECT_TRUE(one_->told().empty());
+    EXPECT_TRUE(one_->limitsToShare().empty());
 }
 
-TEST_F(ServerLimitKeeperTest, AnotherStartOfAServerHasNoLimit)
+TEST_F(ServerRateLimiterTest, ARestartedServerHasNoLimit)
 {
     one_->noteAnswer("server", limited(1), now());
     list("server-2");
@@ -218,25 +218,25 @@
     EXPECT_EQ(one_->limitedServers(), 0U);
 }
 
-TEST_F(ServerLimitKeeperTest, WithoutAClockOrTheListOfVmsALimitedServerGetsNothing)
+TEST_F(ServerRateLimiterTest, WithoutAClockOrTheListOfVmsALimitedServerGetsNothing)
 {
     isClockKnown_ = false;
     one_->noteAnswer("server", limited(1), now());
-    EXPECT_EQ(sent(*one_, seconds(20)), 0);
+    EXPECT_EQ(sendAllowed(*one_, seconds(20)), 0);
     isClockKnown_ = true;
     vms_.clear();
-    EXPECT_EQ(sent(*one_, seconds(20)), 0);
+    EXPECT_EQ(sendAllowed(*one_, seconds(20)), 0);
     vms_ = {"one"};
-    EXPECT_GT(sent(*one_, seconds(20)), 10);
+    EXPECT_GT(sendAllowed(*one_, seconds(20)), 10);
 }
 
-TEST_F(ServerLimitKeeperTest, ALimitThatNobodyReachesBindsNobody)
+TEST_F(ServerRateLimiterTest, ALimitAboveAnyPossibleRateIsIgnored)
 {
     one_->noteAnswer("server", limited(1e300), now());
     EXPECT_TRUE(one_->hasRoom("server"));
 }
 
-TEST_F(ServerLimitKeeperTest, EachChangeIsLoggedOnce)
+TEST_F(ServerRateLimiterTest, EachChangeIsLoggedOnce)
 {
     for (int i = 0; i < 3; i++) {
         one_->noteAnswer("server", limited(1.5), now());
