--- a/src/forwarding/eventsplitter.h
+++ b/src/forwarding/eventsplitter.h
@@ -22,13 +22,13 @@
     /// The id of the last whole event; empty before the first one.
     const std::string &lastId() const;
     /// Number of whole events so far.
-    std::size_t events() const;
+    std::size_t eventCount() const;
 
 private:
-    void scanEvents(std::string_view wholeEvents);
+    void scanEvents(std::string_view events);
     std::string incompleteEvent_;
     std::string lastId_;
-    std::size_t events_ = 0;
+    std::size_t eventCount_ = 0;
 };
 
 } // namespace cardamomlift::forwarding
--- a/src/forwarding/internal/eventsplitter.cpp
+++ b/src/forwarding/internal/eventsplitter.cpp
@@ -19,24 +19,24 @@
         return {};
     }
     const std::size_t cut = end == std::string::npos ? incompleteEvent_.size() : end + EventEnd.size();
-    std::string wholeEvents = incompleteEvent_.substr(0, cut);
+    std::string events = incompleteEvent_.substr(0, cut);
     incompleteEvent_.erase(0, cut);
-    scanEvents(wholeEvents);
-    return wholeEvents;
+    scanEvents(events);
+    return events;
 }
 
-void EventSplitter::scanEvents(std::string_view wholeEvents)
+void EventSplitter::scanEvents(std::string_view events)
 {
     std::size_t start = 0;
-    while (start < wholeEvents.size()) {
-        const std::size_t end = std::min(wholeEvents.find('\n', start), wholeEvents.size());
-        std::string_view line = wholeEvents.substr(start, end - start);
+    while (start < events.size()) {
+        const std::size_t end = std::min(events.find('\n', start), events.size());
+        std::string_view line = events.substr(start, end - start);
         start = end + 1;
         if (line.ends_with('\r')) {
             line.remove_suffix(1);
         }
         if (line.empty()) {
-            events_++;
+            eventCount_++;
         } else if (line.starts_with(IdField)) {
             line.remove_prefix(IdField.size());
             line.remove_prefix(std::min(line.find_first_not_of(' '), line.size()));
@@ -60,9 +60,9 @@
     return lastId_;
 }
 
-std::size_t EventSplitter::events() const
+std::size_t EventSplitter::eventCount() const
 {
-    return events_;
+    return eventCount_;
 }
 
 } // namespace cardamomlift::forwarding
--- a/src/forwarding/internal/forwardedrequestend.cpp
+++ b/src/forwarding/internal/forwardedrequestend.cpp
@@ -100,7 +100,7 @@
             {Attribute::Status, std::int64_t(hasStreamStarted() ? 0 : status)},
             {Attribute::Route, route_->name},
             {Attribute::Attempt, std::int64_t(sends_)},
-            {Attribute::Events, static_cast<std::int64_t>(splitter_.events())},
+            {Attribute::Events, static_cast<std::int64_t>(splitter_.eventCount())},
             {Attribute::TookMs, millisecondsSince(exchange_->startedAt())}});
     if (attempt_) {
         endAttempt(false);
@@ -158,7 +158,7 @@
             {Attribute::Version, static_cast<std::int64_t>(manifest_->manifest().version)},
             {Attribute::Open, std::int64_t(load.localOpenRequests)},
             {Attribute::Tokens, request_.promptTokens},
-            {Attribute::Events, static_cast<std::int64_t>(splitter_.events())},
+            {Attribute::Events, static_cast<std::int64_t>(splitter_.eventCount())},
             {Attribute::FirstEventMs, headSent_ ? toMilliseconds(firstEventAt_ - exchange_->startedAt()) : std::int64_t(-1)},
             {Attribute::TookMs, millisecondsSince(exchange_->startedAt())},
             {Attribute::LeftMs, toMilliseconds(timeLeft())}});
--- a/src/forwarding/internal/forwardedrequestmove.cpp
+++ b/src/forwarding/internal/forwardedrequestmove.cpp
@@ -63,7 +63,7 @@
         {{Attribute::Request, request_.id},
             {Attribute::Server, attempt_->server->server.instance},
             {Attribute::Holder, to->server.instance},
-            {Attribute::Events, static_cast<std::int64_t>(splitter_.events())}});
+            {Attribute::Events, static_cast<std::int64_t>(splitter_.eventCount())}});
     move_->client->call(std::move(head), std::move(body), MoveTimeout, [weak = weak_from_this()](const http1::CallResult &result) {
         const auto self = weak.lock();
         if (self && !self->finished_ && self->move_) {
--- a/src/forwarding/internal/forwardedrequestsilence.cpp
+++ b/src/forwarding/internal/forwardedrequestsilence.cpp
@@ -73,7 +73,7 @@
         {{Attribute::Request, request_.id},
             {Attribute::Server, attempt_->server->server.instance},
             {Attribute::WaitMs, millisecondsSince(attempt_->lastByteAt)},
-            {Attribute::Events, static_cast<std::int64_t>(splitter_.events())},
+            {Attribute::Events, static_cast<std::int64_t>(splitter_.eventCount())},
             {Attribute::Attempt, std::int64_t(sends_)}});
     tools_.metrics->add("server_silences_total");
     noteOutcome(outliers::Ending::NoAnswer);
--- a/src/forwarding/internal/serverpool.cpp
+++ b/src/forwarding/internal/serverpool.cpp
@@ -37,10 +37,10 @@
             channel->onIdleEnd(nullptr);
             return channel;
         }
-        entry.channels--;
+        entry.openChannels--;
         loop_.post([channel] {});
     }
-    entry.channels++;
+    entry.openChannels++;
     http1::SocketOptions options;
     options.unackedTimeout = UnackedTimeout;
     options.keepAlive = KeepAliveIdle;
@@ -64,7 +64,7 @@
         // The channel is freed by the event loop, because it is itself the caller of this handler.
         loop_.post([released = std::move(*position)] {});
         entry.idle.erase(position);
-        entry.channels--;
+        entry.openChannels--;
     });
     found->second.idle.push_back(std::move(channel));
 }
@@ -73,8 +73,8 @@
 {
     channel->close();
     const auto found = entries_.find(instance);
-    if (found != entries_.end() && found->second.channels > 0) {
-        found->second.channels--;
+    if (found != entries_.end() && found->second.openChannels > 0) {
+        found->second.openChannels--;
     }
     loop_.post([released = std::move(channel)] {});
 }
@@ -134,7 +134,7 @@
 {
     std::size_t sum = 0;
     for (const auto &[instance, entry] : entries_) {
-        sum += entry.channels;
+        sum += entry.openChannels;
     }
     return sum;
 }
@@ -157,7 +157,7 @@
             if (channel->isReusable()) {
                 return false;
             }
-            entry->second.channels--;
+            entry->second.openChannels--;
             channel->close();
             return true;
         });
--- a/src/forwarding/serverpool.h
+++ b/src/forwarding/serverpool.h
@@ -18,7 +18,7 @@
 struct ServerEntry {
     balancing::ServerLoad load;
     std::vector<std::shared_ptr<http1::BackendChannel>> idle;
-    std::size_t channels = 0; ///< Number of open channels, idle or in use.
+    std::size_t openChannels = 0; ///< Number of open channels, idle or in use.
     std::optional<TimePoint> lastActivityAt; ///< When bytes of an answer were last received, on any channel.
 };
 
--- a/src/forwarding/tests/eventsplitter_test.cpp
+++ b/src/forwarding/tests/eventsplitter_test.cpp
@@ -19,7 +19,7 @@
         }
         EXPECT_EQ(passed, Stream);
         EXPECT_EQ(splitter.lastId(), "3");
-        EXPECT_EQ(splitter.events(), 3U);
+        EXPECT_EQ(splitter.eventCount(), 3U);
     }
 }
 
