--- a/src/presence/tests/knowledgeage_test.cpp
+++ b/src/presence/tests/knowledgeage_test.cpp
@@ -7,7 +7,7 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-/// Changes while VMs lose the store, each other and datagrams, and start again, as a seed draws them.
+/// Random changes of a table while VMs lose the store, each other and datagrams, and restart.
 class KnowledgeAgeSeeds : public TableRelayTest, public testing::WithParamInterface<unsigned>
 {
 protected:
@@ -16,26 +16,26 @@
         return std::uniform_int_distribution(least, most)(random_);
     }
 
-    Vm &drawVm()
+    Vm &randomVm()
     {
         return *vms_[random_() % vms_.size()];
     }
 
-    void writeOne()
+    void writeRow()
     {
         const std::string key = "key-" + std::to_string(draw(0, 3));
         const bool isLarge = draw(0, 9) == 0;
         std::string value = std::to_string(++written_) + " ";
         if (isLarge) {
-            value += noise(4000, random_);
+            value += incompressibleText(4000, random_);
         }
         put(key, value);
         writes_.push_back({loop_->now(), key, written_});
     }
 
-    void disturb()
+    void injectFault()
     {
-        Vm &vm = drawVm();
+        Vm &vm = randomVm();
         switch (draw(0, 9)) {
         case 0:
             vm.store->faults.silent = true;
@@ -44,7 +44,7 @@
             vm.store->faults.down = true;
             break;
         case 2:
-            vm.datagrams->isCut = true;
+            vm.socket->isCut = true;
             break;
         case 3:
             network_.isHolding = true;
@@ -53,22 +53,22 @@
             rows_->compact();
             break;
         case 5:
-            startAgain();
+            restartVm();
             break;
         case 6:
             put("other", std::to_string(written_), "other");
             break;
         default:
-            heal();
+            clearFaults();
             break;
         }
     }
 
-    void heal()
+    void clearFaults()
     {
         for (const auto &vm : vms_) {
             vm->store->faults = {};
-            vm->datagrams->isCut = false;
+            vm->socket->isCut = false;
         }
         release();
     }
@@ -83,7 +83,7 @@
         }
     }
 
-    void startAgain()
+    void restartVm()
     {
         const std::size_t index = random_() % vms_.size();
         Vm &vm = *vms_[index];
@@ -92,8 +92,8 @@
         startVm(vm, index, std::uniform_int_distribution<std::uint64_t>()(random_));
     }
 
-    /// All that was written before a VM's knowledge is said to have been complete is known there.
-    void expectHonest() const
+    /// Each VM must know all writes before the time at which its watch confirms that its knowledge was complete.
+    void expectConfirmationsHold() const
     {
         for (const auto &vm : vms_) {
             const auto confirmedAt = vm->watch->confirmedAt();
@@ -121,22 +121,23 @@
     int written_ = 0;
 };
 
-// Keys that were taken away and servers that leave are judged by the age of what is known.
+// Guards against a VM that confirms a later time than that up to which it knows all changes. Revoked API keys and draining
+// servers are detected late then, as both depend on the age of this knowledge.
 TEST_P(KnowledgeAgeSeeds, NoVmTakesItsKnowledgeForNewerThanItIs)
 {
     constexpr int Rounds = 120;
     network_.loss = 0.03;
     const bool isLarge = GetParam() % 3 == 0;
     start(isLarge ? 30 : 7, isLarge ? 3 : 1);
-    pass(seconds(4));
+    advance(seconds(4));
     for (int i = 0; i < Rounds && !HasFatalFailure(); i++) {
         if (draw(0, 1) == 0) {
-            disturb();
+            injectFault();
         }
         if (draw(0, 2) == 0) {
-            writeOne();
+            writeRow();
         }
-        pass(milliseconds(draw(1, 40) * 10), [this] { expectHonest(); });
+        advance(milliseconds(draw(1, 40) * 10), [this] { expectConfirmationsHold(); });
     }
 }
 
--- a/src/presence/tests/missedlargechange_test.cpp
+++ b/src/presence/tests/missedlargechange_test.cpp
@@ -7,23 +7,23 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-/// A third of the VMs lose the store, and then one change comes that is too large for a datagram.
+/// A third of the VMs lose the store; then a change is made that is too large for a datagram.
 class MissedLargeChangeSeeds : public TableRelayTest, public testing::WithParamInterface<unsigned>
 {
 protected:
-    /// Their rounds come at different moments, as those of processes that start by themselves.
-    void startOneByOne(std::size_t count, std::size_t zones)
+    /// Starts the VMs at different times, so that their rounds are not aligned, as with independent processes.
+    void startStaggered(std::size_t count, std::size_t zones)
     {
         zones_ = zones;
         for (std::size_t i = 0; i < count; i++) {
             vms_.push_back(std::make_unique<Vm>());
             startVm(*vms_.back(), i, FirstIncarnation * (i + 1));
-            pass(milliseconds(10 * (random_() % 5)));
+            advance(milliseconds(10 * (random_() % 5)));
         }
     }
 
-    /// VMs without the store; they lack the change until it is back.
-    std::vector<const Vm *> cutOff(std::size_t part)
+    /// Disconnects about one in @p part VMs from the store and returns them. They lack the change until they are reconnected.
+    std::vector<const Vm *> disconnectSome(std::size_t part)
     {
         std::vector<const Vm *> cut;
         for (std::size_t i = 0; i < vms_.size(); i++) {
@@ -35,15 +35,15 @@
         return cut;
     }
 
-    /// Changes another table that the VMs follow, so that they tell each other news between their rounds.
+    /// Changes another relayed table, so that the VMs broadcast changes between their rounds.
     void changeVmRow()
     {
         put("vm-gone", R"({"endpoint":"10.0.0.9:1","zone":"zone-0","incarnation":)" + std::to_string(++changes_) + "}", "entry-vms");
     }
 
-    static constexpr Duration BetweenNews = milliseconds(150);
+    static constexpr Duration TimeBetweenChanges = milliseconds(150);
 
-    void expectHonest(const std::vector<const Vm *> &cut, TimePoint changedAt) const
+    void expectConfirmationsHold(const std::vector<const Vm *> &cut, TimePoint changedAt) const
     {
         for (const Vm *vm : cut) {
             const auto confirmedAt = vm->watch->confirmedAt();
@@ -59,20 +59,20 @@
     int changes_ = 0;
 };
 
-// Guards against a VM that vouches for a manifest in which a key is still valid, because it took "nothing has changed" from
-// the news of two moments.
-TEST_P(MissedLargeChangeSeeds, AVmWithoutTheStoreNeverTakesItForKnown)
+// Guards against a VM that confirms an outdated manifest, in which a revoked key is still valid, because it combined the
+// statement that nothing has changed from deltas of two different times.
+TEST_P(MissedLargeChangeSeeds, AVmWithoutTheStoreNeverConfirmsPastAMissedChange)
 {
     network_.loop = loop_.get();
-    startOneByOne(GetParam() % 2 == 0 ? 30 : 79, 4);
-    pass(seconds(4) + milliseconds(random_() % 1000));
-    const auto cut = cutOff(3);
-    pass(milliseconds(400));
+    startStaggered(GetParam() % 2 == 0 ? 30 : 79, 4);
+    advance(seconds(4) + milliseconds(random_() % 1000));
+    const auto cut = disconnectSome(3);
+    advance(milliseconds(400));
     const TimePoint changedAt = loop_->now();
-    put("key", noise(4000, random_));
-    for (Duration passed(0); passed < seconds(9) && !HasFatalFailure(); passed += BetweenNews) {
+    put("key", incompressibleText(4000, random_));
+    for (Duration passed(0); passed < seconds(9) && !HasFatalFailure(); passed += TimeBetweenChanges) {
         changeVmRow();
-        pass(BetweenNews, [&] { expectHonest(cut, changedAt); });
+        advance(TimeBetweenChanges, [&] { expectConfirmationsHold(cut, changedAt); });
     }
 }
 
--- a/src/presence/tests/presence_test.cpp
+++ b/src/presence/tests/presence_test.cpp
@@ -32,11 +32,11 @@
         tools.zone = "zone";
         tools.endpoint = {"10.0.0." + instance, 7600};
         tools.incarnation = incarnation;
-        tools.socket = std::make_shared<TestDatagrams>(network_, tools.endpoint);
+        tools.socket = std::make_shared<TestDatagramSocket>(network_, tools.endpoint);
         return Presence::start(std::move(tools));
     }
 
-    void pass(Duration time)
+    void advance(Duration time)
     {
         for (Duration passed(0); passed < time; passed += milliseconds(10)) {
             loop_->runDue();
@@ -52,51 +52,51 @@
     TestNetwork network_;
 };
 
-TEST_F(PresenceTest, VmsFindEachOtherByTheirRows)
+TEST_F(PresenceTest, VmsDiscoverEachOtherByTheirRows)
 {
     const auto one = start("1", 1000);
     const auto two = start("2", 2000);
     const auto three = start("3", 3000);
-    pass(seconds(1));
+    advance(seconds(1));
     EXPECT_EQ(one->vmCount(), 3U);
     EXPECT_EQ(one->countPeersHeardWithin(milliseconds(500)), 2U);
     EXPECT_EQ(three->countPeersHeardWithin(milliseconds(500)), 2U);
 }
 
-TEST_F(PresenceTest, AProofIsNeverLaterThanTheSendingOfTheStatus)
+TEST_F(PresenceTest, TheLowerBoundOfTheSendTimeIsNeverAfterTheSend)
 {
     const auto one = start("1", 1000);
     const auto two = start("2", 2000);
-    pass(seconds(2));
-    std::optional<TimePoint> proven;
-    one->onStatus([&](const Status &, std::optional<TimePoint> sentNotBefore) { proven = sentNotBefore; });
-    // What two sends now is held on its way for three seconds.
+    advance(seconds(2));
+    std::optional<TimePoint> lowerBound;
+    one->onStatus([&](const Status &, std::optional<TimePoint> sentNotBefore) { lowerBound = sentNotBefore; });
+    // The datagrams that two sends now are delayed by three seconds.
     network_.isHolding = true;
-    pass(milliseconds(400));
+    advance(milliseconds(400));
     const TimePoint sentBefore = loop_->now();
     network_.isHolding = false;
     const auto held = std::exchange(network_.held, {});
     network_.isCut = true;
-    pass(seconds(3));
-    proven.reset();
+    advance(seconds(3));
+    lowerBound.reset();
     for (const auto &[to, bytes] : held) {
         network_.deliver(to, bytes);
     }
-    ASSERT_TRUE(proven.has_value());
-    EXPECT_LE(*proven, sentBefore) << "time on the way must not count as freshness";
+    ASSERT_TRUE(lowerBound.has_value());
+    EXPECT_LE(*lowerBound, sentBefore) << "the time in flight must not make the status look newer";
 }
 
-TEST_F(PresenceTest, WhatAnEarlierProcessSaidIsIgnored)
+TEST_F(PresenceTest, StatusesOfAnEarlierProcessAreIgnored)
 {
     const auto one = start("1", 1000);
     auto two = start("2", 2000);
-    pass(seconds(1));
+    advance(seconds(1));
     network_.isHolding = true;
-    pass(milliseconds(400));
+    advance(milliseconds(400));
     const auto held = std::exchange(network_.held, {});
     network_.isHolding = false;
     two = start("2", 3000);
-    pass(seconds(1));
+    advance(seconds(1));
     int statuses = 0;
     one->onStatus([&](const Status &status, std::optional<TimePoint>) {
         statuses++;
@@ -106,19 +106,19 @@
         network_.deliver(to, bytes);
     }
     EXPECT_EQ(statuses, 0);
-    pass(seconds(1));
+    advance(seconds(1));
     EXPECT_GT(statuses, 0);
 }
 
-TEST_F(PresenceTest, ADoubledDatagramIsTakenOnce)
+TEST_F(PresenceTest, ADuplicatedDatagramIsHandledOnce)
 {
     const auto one = start("1", 1000);
     const auto two = start("2", 2000);
-    pass(seconds(1));
+    advance(seconds(1));
     int statuses = 0;
     one->onStatus([&](const Status &, std::optional<TimePoint>) { statuses++; });
     network_.isHolding = true;
-    pass(milliseconds(400));
+    advance(milliseconds(400));
     network_.isHolding = false;
     const auto held = std::exchange(network_.held, {});
     for (int i = 0; i < 2; i++) {
@@ -130,7 +130,7 @@
     network_.deliver({"10.0.0.1", 7600}, "no status");
 }
 
-TEST(StatusFormat, KeepsAllParts)
+TEST(StatusFormat, RoundTripKeepsAllFields)
 {
     StatusMessage message;
     message.status.instance = "vm";
@@ -174,7 +174,7 @@
     EXPECT_EQ(read->status.limits[0].server, 13U);
     EXPECT_EQ(read->status.limits[0].perSecond, 1.1);
     EXPECT_EQ(read->status.limits[0].age, milliseconds(200));
-    EXPECT_TRUE(read->status.limits[1].isLimited) << "a limit of nothing is one";
+    EXPECT_TRUE(read->status.limits[1].isLimited) << "a limit of 0 requests is a limit";
     EXPECT_FALSE(read->status.limits[2].isLimited);
     EXPECT_EQ(read->status.services[0].open, 11U);
     EXPECT_EQ(read->status.suspects[0], 12U);
@@ -183,7 +183,7 @@
     EXPECT_FALSE(decodeStatus(""));
 }
 
-TEST(StatusFormat, ChangesThatAreMuchAlikeTakeFewBytes)
+TEST(StatusFormat, SimilarChangesCompressWell)
 {
     std::vector<rows::Row> rows;
     std::size_t plain = 0;
@@ -202,7 +202,7 @@
     EXPECT_FALSE(unpackChanges("", 1));
 }
 
-TEST(StatusFormat, ChangesThatUnpackToMuchMoreAreReadWithinABound)
+TEST(StatusFormat, UnpackedSizeIsBounded)
 {
     const auto rowOf = [](std::size_t size) {
         return std::vector<rows::Row>{{"key", std::string(size, 'a'), {1, 2}, false}};
@@ -213,10 +213,10 @@
     EXPECT_FALSE(unpackChanges(packChanges(rowOf(200'000)), 1));
     const auto none = unpackChanges(packChanges({}), 1);
     ASSERT_TRUE(none);
-    EXPECT_TRUE(none->empty()) << "nothing has changed, which is worth telling";
+    EXPECT_TRUE(none->empty()) << "an empty list of changes is valid";
 }
 
-TEST(ClusterClock, MostClocksDecide)
+TEST(ClusterClock, MedianOffsetIgnoresOutliers)
 {
     EXPECT_FALSE(medianOffset({}));
     EXPECT_EQ(medianOffset({seconds(100), seconds(100), seconds(103)}), Duration(seconds(100)));
--- a/src/presence/tests/restoredstore_test.cpp
+++ b/src/presence/tests/restoredstore_test.cpp
@@ -7,11 +7,11 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-/// How much later than the others the VMs that follow the store scope it again.
+/// Parameter: by how many milliseconds the store readers reconnect to the store later than the other VMs.
 class RestoredStoreTest : public TableRelayTest, public testing::WithParamInterface<int>
 {
 protected:
-    std::vector<Vm *> followers() const
+    std::vector<Vm *> storeReaders() const
     {
         std::vector<Vm *> result;
         for (const auto &vm : vms_) {
@@ -23,48 +23,49 @@
     }
 };
 
-// A VM that reads the restored store before the others do hears from them of versions that are gone.
-TEST_P(RestoredStoreTest, NewsFromBeforeTheRestoreDoNotHideChanges)
+// A VM that reads the restored store before the others do gets deltas from them with versions that no longer exist.
+TEST_P(RestoredStoreTest, DeltasFromBeforeTheRestoreDoNotHideChanges)
 {
     start(9);
     put("server", "ready");
-    pass(seconds(5));
-    const std::vector<Vm *> late = followers();
+    advance(seconds(5));
+    const std::vector<Vm *> late = storeReaders();
     const rows::MemoryRows copy = *rows_;
     for (int i = 0; i < 10; i++) {
         // Each write raises the store's version for all tables.
         put("lost", std::to_string(i), "other");
-        pass(milliseconds(200));
+        advance(milliseconds(200));
     }
     for (const auto &vm : vms_) {
         vm->store->faults.down = true;
     }
-    pass(milliseconds(2500));
+    advance(milliseconds(2500));
     rows_->restore(copy);
     for (const auto &vm : vms_) {
         vm->store->faults.down = std::find(late.begin(), late.end(), vm.get()) != late.end();
     }
-    pass(milliseconds(GetParam()));
+    advance(milliseconds(GetParam()));
     for (Vm *vm : late) {
         vm->store->faults.down = false;
     }
-    pass(seconds(1));
+    advance(seconds(1));
     put("server", "draining");
-    // A server that leaves must get no more work after two seconds.
-    pass(milliseconds(1700));
+    // A draining server must get no new requests after two seconds.
+    advance(milliseconds(1700));
     for (const auto &vm : vms_) {
         EXPECT_EQ(vm->known["server"], "draining") << vm->presence->instance();
     }
 }
 
-// VMs whose rows the copy lacks would be unknown to all that start later, and unheard by the others.
-TEST_F(TableRelayTest, VmsThatTheCopyLacksStayKnownAndWriteTheirRowsAgain)
+// VMs whose rows are missing from the restored copy would be unknown to VMs that start later, and their datagrams would be
+// dropped by the others.
+TEST_F(TableRelayTest, VmsMissingFromTheCopyStayKnownAndWriteTheirRowsAgain)
 {
     const rows::MemoryRows copy = *rows_;
     start(9);
-    pass(seconds(5));
+    advance(seconds(5));
     rows_->restore(copy);
-    pass(seconds(3), [this] {
+    advance(seconds(3), [this] {
         for (const auto &vm : vms_) {
             EXPECT_EQ(vm->presence->vmCount(), 9U) << vm->presence->instance();
         }
@@ -77,7 +78,7 @@
 
 INSTANTIATE_TEST_SUITE_P(LateByMilliseconds, RestoredStoreTest, testing::Values(0, 400, 800));
 
-/// Restores from copies that are up to eight seconds old, one after the other, with what a seed draws of the rest.
+/// Several restores in turn, from copies that are up to eight seconds old, with random writes and outages.
 class RestoredStoreSeeds : public TableRelayTest, public testing::WithParamInterface<unsigned>
 {
 protected:
@@ -86,12 +87,12 @@
         return std::uniform_int_distribution(least, most)(random_);
     }
 
-    void writeSome(int count, Duration pause)
+    void writeRows(int count, Duration pause)
     {
         for (int i = 0; i < count; i++) {
             const bool isOwnTable = draw(0, 3) == 0;
             put("row-" + std::to_string(draw(0, 5)), std::to_string(written_++), isOwnTable ? "t" : "other");
-            pass(pause);
+            advance(pause);
         }
     }
 
@@ -100,19 +101,19 @@
         for (const auto &vm : vms_) {
             vm->store->faults.down = true;
         }
-        pass(milliseconds(draw(0, 30) * 100));
+        advance(milliseconds(draw(0, 30) * 100));
         rows_->restore(copy);
-        // Versions are given out again before the VMs ask.
-        writeSome(draw(0, 12), Duration(0));
-        std::vector<Vm *> away;
+        // The restored store reuses versions before the VMs poll it.
+        writeRows(draw(0, 12), Duration(0));
+        std::vector<Vm *> disconnected;
         for (const auto &vm : vms_) {
-            away.push_back(vm.get());
+            disconnected.push_back(vm.get());
         }
-        std::shuffle(away.begin(), away.end(), random_);
-        const Duration pause = milliseconds(draw(0, 10) * 100) / away.size();
-        for (Vm *vm : away) {
+        std::shuffle(disconnected.begin(), disconnected.end(), random_);
+        const Duration pause = milliseconds(draw(0, 10) * 100) / disconnected.size();
+        for (Vm *vm : disconnected) {
             vm->store->faults.down = false;
-            pass(pause);
+            advance(pause);
         }
     }
 
@@ -130,22 +131,22 @@
     int written_ = 0;
 };
 
-// A VM must not go on with rows that the restored store does not have, nor miss what is written there since.
+// Guards against a VM that keeps rows which the restored store does not have, or misses rows written since the restore.
 TEST_P(RestoredStoreSeeds, AllVmsKnowTheTableAsItIs)
 {
     constexpr int Restores = 3;
     network_.loss = 0.025;
     const bool isLarge = GetParam() % 4 == 0;
     start(isLarge ? 30 : 9, isLarge ? 3 : 1);
-    pass(seconds(5));
+    advance(seconds(5));
     for (int i = 0; i < Restores; i++) {
         const rows::MemoryRows copy = *rows_;
-        writeSome(draw(1, 40), milliseconds(200));
+        writeRows(draw(1, 40), milliseconds(200));
         restore(copy);
-        pass(seconds(2));
+        advance(seconds(2));
         put("server", "leaving-" + std::to_string(i));
-        // A server that leaves must get no more work after two seconds.
-        pass(milliseconds(1700));
+        // A draining server must get no new requests after two seconds.
+        advance(milliseconds(1700));
         for (const auto &vm : vms_) {
             EXPECT_EQ(vm->known, stored()) << vm->presence->instance();
         }
--- a/src/presence/tests/tablerelaytest.h
+++ b/src/presence/tests/tablerelaytest.h
@@ -18,10 +18,10 @@
 inline constexpr std::uint64_t FirstIncarnation = 1'000'000;
 inline constexpr Duration MaxTableAge = std::chrono::milliseconds(2800);
 
-/// One VM that follows table "t".
+/// One VM with a watch of table "t".
 struct Vm {
     std::shared_ptr<rows::MemoryRowStore> store;
-    std::shared_ptr<TestDatagrams> datagrams;
+    std::shared_ptr<TestDatagramSocket> socket;
     std::shared_ptr<Presence> presence;
     std::shared_ptr<TableRelay> relay;
     std::shared_ptr<rows::RowWatch> watch;
@@ -58,16 +58,16 @@
         tools.zone = "zone-" + std::to_string(index % zones_);
         tools.endpoint = {"10.0.0.1", static_cast<std::uint16_t>(1000 + index)};
         tools.incarnation = incarnation;
-        vm.datagrams = std::make_shared<TestDatagrams>(network_, tools.endpoint);
-        tools.socket = vm.datagrams;
+        vm.socket = std::make_shared<TestDatagramSocket>(network_, tools.endpoint);
+        tools.socket = vm.socket;
         vm.presence = Presence::start(std::move(tools));
         rows::WatchHandlers handlers;
-        handlers.onSnapshot = [&vm](const rows::TableSnapshot &whole) {
+        handlers.onSnapshot = [&vm](const rows::TableSnapshot &snapshot) {
             vm.known.clear();
-            take(vm, whole.rows);
+            apply(vm, snapshot.rows);
         };
         handlers.onChanges = [&vm](const std::vector<rows::Row> &rows) {
-            take(vm, rows);
+            apply(vm, rows);
         };
         handlers.onConfirmed = [](TimePoint) {
         };
@@ -79,7 +79,7 @@
         vm.relay->add(vm.presence->rowWatch(), std::chrono::seconds(15));
     }
 
-    static void take(Vm &vm, const std::vector<rows::Row> &rows)
+    static void apply(Vm &vm, const std::vector<rows::Row> &rows)
     {
         for (const rows::Row &row : rows) {
             if (row.isDeleted) {
@@ -99,8 +99,8 @@
         rows_->transact({write});
     }
 
-    /// Lets time pass; @p check runs at each step.
-    void pass(
+    /// Advances the clock by @p time and runs the event loop; @p check runs at each step.
+    void advance(
         Duration time, const std::function<void()> &check = [] {})
     {
         for (Duration passed(0); passed < time; passed += std::chrono::milliseconds(10)) {
@@ -111,7 +111,7 @@
         loop_->runDue();
     }
 
-    std::uint64_t calls() const
+    std::uint64_t storeCalls() const
     {
         std::uint64_t sum = 0;
         for (const auto &vm : vms_) {
@@ -120,13 +120,13 @@
         return sum;
     }
 
-    std::size_t following() const
+    std::size_t storeReaderCount() const
     {
         return static_cast<std::size_t>(std::count_if(vms_.begin(), vms_.end(), [](const auto &vm) { return vm->relay->isStoreReader(); }));
     }
 
-    /// Text that can't be packed into less.
-    static std::string noise(std::size_t length, std::mt19937 &random)
+    /// Random text, which hardly compresses.
+    static std::string incompressibleText(std::size_t length, std::mt19937 &random)
     {
         std::string text(length, ' ');
         for (char &letter : text) {
--- a/src/presence/tests/testnetwork.h
+++ b/src/presence/tests/testnetwork.h
@@ -10,7 +10,7 @@
 
 namespace cardamomlift::presence {
 
-/// Datagrams between the VMs of a test; they can be held back and delivered later, or lost.
+/// Network between the VMs of a test. Datagrams can be held back and delivered later, or dropped.
 class TestNetwork
 {
 public:
@@ -43,10 +43,10 @@
         }
     }
 
-    EventLoop *loop = nullptr; ///< Delivers; without one a datagram arrives within the call that sends it.
-    bool isCut = false;
-    bool isHolding = false;
-    double loss = 0; ///< Part of the datagrams that are lost.
+    EventLoop *loop = nullptr; ///< Delivers the datagrams; if null, a datagram arrives within the call that sends it.
+    bool isCut = false; ///< Drops all datagrams, uncounted.
+    bool isHolding = false; ///< Collects datagrams in @c held instead of delivering them.
+    double loss = 0; ///< Fraction of the datagrams that are lost.
     std::size_t sentBytes = 0;
     std::size_t sentCount = 0;
     std::vector<std::pair<http1::Endpoint, std::string>> held;
@@ -56,11 +56,11 @@
     std::mt19937 random_{1};
 };
 
-/// One VM's end of a TestNetwork.
-class TestDatagrams : public DatagramSocket
+/// The socket of one VM in a TestNetwork.
+class TestDatagramSocket : public DatagramSocket
 {
 public:
-    TestDatagrams(TestNetwork &network, http1::Endpoint endpoint)
+    TestDatagramSocket(TestNetwork &network, http1::Endpoint endpoint)
         : network_(network)
         , endpoint_(std::move(endpoint))
     {
@@ -82,7 +82,7 @@
         };
     }
 
-    bool isCut = false; ///< This VM neither sends nor hears.
+    bool isCut = false; ///< This VM neither sends nor receives datagrams.
 
 private:
     TestNetwork &network_;
--- a/src/presence/tests/vmgroups_test.cpp
+++ b/src/presence/tests/vmgroups_test.cpp
@@ -18,15 +18,15 @@
 
 constexpr std::uint64_t Customer = 7;
 
-/// Many VMs in some zones, each of which lets through 100 tokens a second of one customer, on a paused clock.
+/// Many VMs in some zones, each of which admits 100 tokens a second of one customer, on a manual clock.
 class VmGroupsTest : public testing::Test
 {
 protected:
     struct Vm {
-        std::shared_ptr<TestDatagrams> datagrams;
+        std::shared_ptr<TestDatagramSocket> socket;
         std::shared_ptr<Presence> presence;
         bool holdsLease = false;
-        std::map<std::string, std::uint32_t> usage; ///< As told by the others.
+        std::map<std::string, std::uint32_t> usage; ///< Counts received from the other VMs, by VM.
     };
 
     void start(std::size_t count, std::size_t zones)
@@ -48,11 +48,11 @@
         tools.zone = "zone-" + std::to_string(index % zones);
         tools.endpoint = {"10.0.0.1", static_cast<std::uint16_t>(1000 + index)};
         tools.incarnation = 1'000'000 * (index + 1);
-        vm.datagrams = std::make_shared<TestDatagrams>(network_, tools.endpoint);
-        tools.socket = vm.datagrams;
+        vm.socket = std::make_shared<TestDatagramSocket>(network_, tools.endpoint);
+        tools.socket = vm.socket;
         vm.presence = Presence::start(std::move(tools));
         vm.presence->addStatusContributor([this, &vm](Status &status) {
-            status.demands.push_back({Customer, 100, taken()});
+            status.demands.push_back({Customer, 100, admittedTotal()});
             status.usage.push_back({1, Customer, 3});
             status.holdsLease = vm.holdsLease;
         });
@@ -63,12 +63,12 @@
         });
     }
 
-    double taken() const
+    double admittedTotal() const
     {
         return std::chrono::duration<double>(loop_->now() - beganAt_).count() * 100;
     }
 
-    void pass(Duration time)
+    void advance(Duration time)
     {
         for (Duration passed(0); passed < time; passed += milliseconds(10)) {
             loop_->runDue();
@@ -77,8 +77,8 @@
         loop_->runDue();
     }
 
-    /// What a VM thinks that all others have taken, as a part of what they have.
-    double knownPart(const Vm &vm, Duration age) const
+    /// The admitted total of all other VMs as known to @p vm, as a fraction of the real one.
+    double knownFraction(const Vm &vm, Duration age) const
     {
         double sum = 0;
         for (const Peer *peer : vm.presence->recentlyHeard(age)) {
@@ -86,7 +86,7 @@
                 sum += demand.admittedTotal;
             }
         }
-        return sum / (taken() * static_cast<double>(vms_.size() - 1));
+        return sum / (admittedTotal() * static_cast<double>(vms_.size() - 1));
     }
 
     ManualClock clock_;
@@ -104,7 +104,7 @@
     EXPECT_EQ(groupOf(layoutFor(9, 4), "vm", "zone"), "");
 }
 
-TEST(VmGroups, WhatAVmExchangesGrowsWithTheRootOfTheVms)
+TEST(VmGroups, TrafficOfAVmGrowsWithTheSquareRootOfTheVms)
 {
     for (const std::size_t vms : {25U, 90U, 295U, 380U, 1000U, 3000U}) {
         for (const std::size_t zones : {1U, 3U, 6U, 11U}) {
@@ -115,12 +115,12 @@
     }
 }
 
-TEST(VmGroups, ThreeQuartersMoreVmsKeepTheirGroups)
+TEST(VmGroups, LayoutIsUnchangedWithThreeQuartersMoreVms)
 {
     EXPECT_EQ(layoutFor(295, 6), layoutFor(516, 6));
 }
 
-TEST(StatusSummary, AddsUpWhatMembersTookAndKeepsTheNewestOfWhatTheySaw)
+TEST(StatusSummary, SumsDemandsAndKeepsTheNewestObservations)
 {
     Status one;
     one.instance = "one";
@@ -141,7 +141,7 @@
     EXPECT_EQ(sum.leaseHolder, "two");
     EXPECT_EQ(sum.uptime, seconds(9));
     EXPECT_DOUBLE_EQ(sum.outcomes.at(0).answered, 6);
-    // Its failures came after the last answer that any member had.
+    // The failures of the first VM came after the last answer that any member had.
     EXPECT_EQ(sum.outcomes.at(0).failedInARow, 2);
     EXPECT_EQ(sum.outcomes.at(0).sinceFailure, milliseconds(500));
     EXPECT_EQ(sum.outcomes.at(0).sinceAnswer, milliseconds(600));
@@ -150,7 +150,7 @@
     EXPECT_NE(summarize("g", std::vector<MemberStatus>{{&one, milliseconds(0)}, {&two, milliseconds(0)}}).membersHash, sum.membersHash);
 }
 
-TEST(StatusSummary, KeepsTheNewestWordOnEachServersLimit)
+TEST(StatusSummary, KeepsTheNewestLimitOfEachServer)
 {
     Status one;
     one.limits = {{7, true, 1, milliseconds(100)}, {8, true, 3, milliseconds(50)}};
@@ -161,13 +161,13 @@
     EXPECT_EQ(first.limits[0].server, 8U);
     EXPECT_EQ(first.limits[0].age, milliseconds(150));
     EXPECT_TRUE(first.limits[1].isLimited);
-    EXPECT_EQ(first.limits[1].age, milliseconds(200)) << "with the age of the status that told it";
+    EXPECT_EQ(first.limits[1].age, milliseconds(200)) << "includes the age of the status that reported it";
     const auto second = summarize("g", std::vector<MemberStatus>{{&one, milliseconds(500)}, {&two, milliseconds(0)}});
     EXPECT_EQ(second.limits.at(0).server, 7U);
     EXPECT_FALSE(second.limits.at(0).isLimited);
 }
 
-TEST(StatusSummary, SaysNothingOfTheLeaseOfAMemberThatFellSilent)
+TEST(StatusSummary, OmitsTheLeaseOfASilentMember)
 {
     Status holder;
     holder.instance = "holder";
@@ -176,30 +176,30 @@
     EXPECT_FALSE(summarize("g", std::vector<MemberStatus>{{&holder, milliseconds(2000)}}).holdsLease);
 }
 
-TEST_F(VmGroupsTest, EachVmKnowsTheSumOverAllFromFewDatagrams)
+TEST_F(VmGroupsTest, EachVmKnowsTheTotalFromFewDatagrams)
 {
     network_.loss = 0.025;
     start(90, 3);
-    pass(seconds(5));
+    advance(seconds(5));
     const std::size_t before = network_.sentCount;
-    pass(seconds(5));
+    advance(seconds(5));
     for (const auto &vm : vms_) {
         EXPECT_EQ(vm->presence->groups().size(), 5U);
-        EXPECT_NEAR(knownPart(*vm, seconds(2)), 0.95, 0.06) << vm->presence->instance();
+        EXPECT_NEAR(knownFraction(*vm, seconds(2)), 0.95, 0.06) << vm->presence->instance();
     }
-    // Each telling each would be 250 a second with the same age.
-    EXPECT_LT((network_.sentCount - before) / vms_.size() / 5, 90U) << "datagrams a VM and second";
+    // If each VM sent to each other one, 250 datagrams a second would give the same age.
+    EXPECT_LT((network_.sentCount - before) / vms_.size() / 5, 90U) << "datagrams per VM and second";
 }
 
-TEST_F(VmGroupsTest, AnotherVmIsAskedWhereOneFallsSilent)
+TEST_F(VmGroupsTest, SummariesAreRequestedFromAnotherVmWhenOneIsSilent)
 {
     start(90, 3);
-    pass(seconds(4));
-    // Half of all VMs end in the same moment.
+    advance(seconds(4));
+    // Half of all VMs stop at the same time.
     for (std::size_t i = 0; i < vms_.size(); i += 2) {
-        vms_[i]->datagrams->isCut = true;
+        vms_[i]->socket->isCut = true;
     }
-    pass(seconds(4));
+    advance(seconds(4));
     for (std::size_t i = 1; i < vms_.size(); i += 2) {
         const auto &groups = vms_[i]->presence->groups();
         const auto isHeard = [this](const auto &entry) {
@@ -209,28 +209,28 @@
     }
 }
 
-TEST_F(VmGroupsTest, TheHolderOfTheLeaseHearsTheUsageOfEachVm)
+TEST_F(VmGroupsTest, TheLeaseHolderGetsTheUsageOfEachVm)
 {
     network_.loss = 0.025;
     start(90, 3);
     vms_[17]->holdsLease = true;
-    pass(seconds(6));
+    advance(seconds(6));
     EXPECT_EQ(vms_[17]->usage.size(), 89U);
 }
 
-TEST_F(VmGroupsTest, VmsOfAnotherLayoutAreNotCountedTwice)
+TEST_F(VmGroupsTest, VmsAreNotCountedTwiceWhenTheLayoutChanges)
 {
     start(24, 2);
-    pass(seconds(3));
-    EXPECT_NEAR(knownPart(*vms_[0], seconds(1)), 0.95, 0.06);
+    advance(seconds(3));
+    EXPECT_NEAR(knownFraction(*vms_[0], seconds(1)), 0.95, 0.06);
     for (std::size_t i = 24; i < 40; i++) {
         vms_.push_back(std::make_unique<Vm>());
         startVm(*vms_.back(), i, 2);
     }
-    pass(seconds(3));
+    advance(seconds(3));
     for (const auto &vm : vms_) {
-        EXPECT_LT(knownPart(*vm, seconds(2)), 1.01) << vm->presence->instance();
-        EXPECT_GT(knownPart(*vm, seconds(2)), 0.85) << vm->presence->instance();
+        EXPECT_LT(knownFraction(*vm, seconds(2)), 1.01) << vm->presence->instance();
+        EXPECT_GT(knownFraction(*vm, seconds(2)), 0.85) << vm->presence->instance();
     }
 }
 
