--- a/src/presence/tests/missedlargechange_test.cpp
+++ b/src/presence/tests/missedlargechange_test.cpp
@@ -25,14 +25,14 @@
     /// Disconnects about one in @p part VMs from the store and returns them. They lack the change until they are reconnected.
     std::vector<const Vm *> disconnectSome(std::size_t part)
     {
-        std::vector<const Vm *> cut;
+        std::vector<const Vm *> disconnected;
         for (std::size_t i = 0; i < vms_.size(); i++) {
             if (random_() % part == 0) {
                 vms_[i]->store->faults.down = true;
-                cut.push_back(vms_[i].get());
+                disconnected.push_back(vms_[i].get());
             }
         }
-        return cut;
+        return disconnected;
     }
 
     /// Changes another relayed table, so that the VMs broadcast changes between their rounds.
@@ -43,9 +43,9 @@
 
     static constexpr Duration TimeBetweenChanges = milliseconds(150);
 
-    void expectConfirmationsHold(const std::vector<const Vm *> &cut, TimePoint changedAt) const
+    void expectConfirmationsHold(const std::vector<const Vm *> &disconnected, TimePoint changedAt) const
     {
-        for (const Vm *vm : cut) {
+        for (const Vm *vm : disconnected) {
             const auto confirmedAt = vm->watch->confirmedAt();
             ASSERT_TRUE(vm->known.contains("key") || !confirmedAt || *confirmedAt <= changedAt)
                 << vm->presence->instance() << " lacks a change of " << (loop_->now() - changedAt).count() / 1000 << " ms ago, confirmed "
@@ -66,13 +66,13 @@
     network_.loop = loop_.get();
     startStaggered(GetParam() % 2 == 0 ? 30 : 79, 4);
     advance(seconds(4) + milliseconds(random_() % 1000));
-    const auto cut = disconnectSome(3);
+    const auto disconnected = disconnectSome(3);
     advance(milliseconds(400));
     const TimePoint changedAt = loop_->now();
     put("key", incompressibleText(4000, random_));
     for (Duration passed(0); passed < seconds(9) && !HasFatalFailure(); passed += TimeBetweenChanges) {
         changeVmRow();
-        advance(TimeBetweenChanges, [&] { expectConfirmationsHold(cut, changedAt); });
+        advance(TimeBetweenChanges, [&] { expectConfirmationsHold(disconnected, changedAt); });
     }
 }
 
