--- a/src/membership/gossip.h
+++ b/src/membership/gossip.h
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "kernel/eventloop.h"
-#include "membership/rumourboard.h"
+#include "membership/rumourstore.h"
 #include "peers/peertransport.h"
 
 #include <functional>
@@ -15,11 +15,11 @@
 /// Counts of one VM's gossip, for tests and docs/CAPACITY.md.
 struct GossipCounters {
     std::uint64_t news = 0; ///< Rumours that were new here.
-    std::uint64_t repeats = 0; ///< Rumours that came again.
-    std::uint64_t refused = 0;
+    std::uint64_t duplicates = 0; ///< Rumours that came again.
+    std::uint64_t rejected = 0;
     std::uint64_t pushes = 0; ///< Push messages sent.
-    std::uint64_t compares = 0; ///< Comparisons started.
-    std::uint64_t differences = 0; ///< Of these, with different digests.
+    std::uint64_t comparisons = 0; ///< Comparisons started.
+    std::uint64_t mismatches = 0; ///< Of these, with different digests.
 };
 
 /// Spreads rumours over all entry VMs through a fixed small set of neighbours.
@@ -53,25 +53,25 @@
     const GossipCounters &counters() const;
 
 private:
-    struct Waiting {
+    struct PendingRumour {
         Rumour rumour;
         std::string from; ///< The neighbour it came from; empty: this VM.
     };
     Gossip() = default;
-    bool take(const Rumour &rumour, const std::string &from);
-    void flush();
+    bool accept(const Rumour &rumour, const std::string &from);
+    void sendPending();
     void onPush(const std::string &from, const std::string &payload);
     std::string answerCompare(const std::string &payload);
     std::string answerExchange(const std::string &from, const std::string &payload);
-    void onCompared(const peers::PeerAddress &peer, WallTime horizon, const std::string &payload);
+    void onCompareReply(const peers::PeerAddress &peer, WallTime horizon, const std::string &payload);
     EventLoop *loop_ = nullptr;
     std::shared_ptr<peers::PeerTransport> transport_;
-    RumourBoard board_;
+    RumourStore store_;
     std::vector<peers::PeerAddress> neighbours_;
     std::unordered_map<std::string, std::vector<Handler>> handlers_;
-    std::vector<Waiting> waiting_;
-    std::size_t nextCompared_ = 0;
-    bool comparing_ = false;
+    std::vector<PendingRumour> pending_;
+    std::size_t nextCompareIndex_ = 0;
+    bool isComparing_ = false;
     GossipCounters counters_;
 };
 
--- a/src/membership/heartbeat.h
+++ b/src/membership/heartbeat.h
@@ -33,26 +33,26 @@
     using RoundPtr = std::shared_ptr<Round>;
     Heartbeat() = default;
     void tick();
-    void forgetStrangers();
+    void forgetRemovedVms();
     void probe(const Vm &target);
-    void askOthers(const Vm &target, const RoundPtr &round);
+    void probeIndirectly(const Vm &target, const RoundPtr &round);
     void endRound(const std::string &instance, const RoundPtr &round);
-    void judgeNeighbour(const std::string &instance);
-    void onStatement(const Rumour &rumour);
+    void updateHealth(const std::string &instance);
+    void onHealthRumour(const Rumour &rumour);
     void onPing(const std::string &from, const std::string &payload, const peers::Reply &reply);
     void onRelay(const std::string &payload, const peers::Reply &reply);
-    void heard(const std::string &instance);
-    bool missedLately(const std::string &instance) const;
-    bool hears(const std::string &instance) const;
+    void onAnswer(const std::string &instance);
+    bool hasMissedRounds(const std::string &instance) const;
+    bool isHeardDirectly(const std::string &instance) const;
     EventLoop *loop_ = nullptr;
     std::shared_ptr<peers::PeerTransport> transport_;
     std::shared_ptr<Members> members_;
     std::shared_ptr<Gossip> gossip_;
     Vm self_;
     std::map<std::string, ProbeRecord> records_;
-    std::map<std::string, TimePoint> statementSince_;
-    std::map<std::string, bool> strangers_; ///< Neighbours that don't know this VM.
-    std::size_t nextProbed_ = 0;
+    std::map<std::string, TimePoint> healthChangedAt_;
+    std::map<std::string, bool> needsDescription_; ///< Neighbours that don't know this VM.
+    std::size_t nextProbeIndex_ = 0;
     TimePoint lastTick_;
     TimePoint lastAnyHeard_;
 };
--- a/src/membership/internal/gossip.cpp
+++ b/src/membership/internal/gossip.cpp
@@ -16,7 +16,7 @@
 constexpr Duration CallTimeout = std::chrono::seconds(2);
 // Rumours about to expire are left out of a comparison, so that clocks a little apart give no difference.
 constexpr Duration HorizonMargin = std::chrono::minutes(1);
-constexpr std::size_t MostBytesAnExchange = 512 * 1024;
+constexpr std::size_t MaxExchangeBytes = 512 * 1024;
 
 std::int64_t toMs(WallTime time)
 {
@@ -44,12 +44,12 @@
 
 /// Adds the rumours of @p ids up to the bytes one message may carry; the next comparison brings the rest.
 template<class Message>
-void addRumours(const RumourBoard &board, std::span<const std::uint64_t> ids, Message &message)
+void addRumours(const RumourStore &store, std::span<const std::uint64_t> ids, Message &message)
 {
     std::size_t bytes = 0;
     for (const std::uint64_t id : ids) {
-        const Rumour *rumour = board.findById(id);
-        if (!rumour || bytes > MostBytesAnExchange) {
+        const Rumour *rumour = store.findById(id);
+        if (!rumour || bytes > MaxExchangeBytes) {
             continue;
         }
         toWire(*rumour, *message.add_rumours());
@@ -93,35 +93,35 @@
 void Gossip::start()
 {
     loop_->every(ComparePeriod, [this] {
-        board_.dropExpired(loop_->clock().wallNow());
+        store_.dropExpired(loop_->clock().wallNow());
         compareNow();
     });
 }
 
 bool Gossip::publish(const std::string &topic, const std::string &key, std::uint64_t version, std::string payload, Duration ttl)
 {
-    return take({topic, key, version, std::move(payload), loop_->clock().wallNow() + ttl}, "");
+    return accept({topic, key, version, std::move(payload), loop_->clock().wallNow() + ttl}, "");
 }
 
 void Gossip::onRumour(const std::string &topic, Handler handler)
 {
-    board_.forEach(topic, handler);
+    store_.forEach(topic, handler);
     handlers_[topic].push_back(std::move(handler));
 }
 
 const Rumour *Gossip::find(const std::string &topic, const std::string &key) const
 {
-    return board_.find(topic, key);
+    return store_.find(topic, key);
 }
 
 void Gossip::forEach(const std::string &topic, const Handler &visit) const
 {
-    board_.forEach(topic, visit);
+    store_.forEach(topic, visit);
 }
 
 std::size_t Gossip::size() const
 {
-    return board_.size();
+    return store_.size();
 }
 
 const GossipCounters &Gossip::counters() const
@@ -129,18 +129,18 @@
     return counters_;
 }
 
-bool Gossip::take(const Rumour &rumour, const std::string &from)
+bool Gossip::accept(const Rumour &rumour, const std::string &from)
 {
-    const OfferOutcome outcome = board_.offer(rumour, loop_->clock().wallNow());
-    if (outcome != OfferOutcome::News) {
-        (outcome == OfferOutcome::Known ? counters_.repeats : counters_.refused)++;
+    const OfferOutcome outcome = store_.offer(rumour, loop_->clock().wallNow());
+    if (outcome != OfferOutcome::Accepted) {
+        (outcome == OfferOutcome::Known ? counters_.duplicates : counters_.rejected)++;
         return false;
     }
     counters_.news++;
-    if (waiting_.empty()) {
-        loop_->post([this] { flush(); });
+    if (pending_.empty()) {
+        loop_->post([this] { sendPending(); });
     }
-    waiting_.push_back({rumour, from});
+    pending_.push_back({rumour, from});
     const auto found = handlers_.find(rumour.topic);
     if (found == handlers_.end()) {
         return true;
@@ -154,14 +154,14 @@
 }
 
 // All news of one turn of the loop goes out in one message to each neighbour.
-void Gossip::flush()
+void Gossip::sendPending()
 {
-    const std::vector<Waiting> news = std::exchange(waiting_, {});
+    const std::vector<PendingRumour> news = std::exchange(pending_, {});
     for (const peers::PeerAddress &peer : neighbours_) {
         wire::Push push;
-        for (const Waiting &waiting : news) {
-            if (waiting.from != peer.instance) {
-                toWire(waiting.rumour, *push.add_rumours());
+        for (const PendingRumour &pending : news) {
+            if (pending.from != peer.instance) {
+                toWire(pending.rumour, *push.add_rumours());
             }
         }
         if (push.rumours().empty()) {
@@ -179,26 +179,26 @@
         return;
     }
     for (const wire::Rumour &rumour : push.rumours()) {
-        take(fromWire(rumour), from);
+        accept(fromWire(rumour), from);
     }
 }
 
 void Gossip::compareNow()
 {
-    if (comparing_ || neighbours_.empty()) {
+    if (isComparing_ || neighbours_.empty()) {
         return;
     }
-    comparing_ = true;
-    counters_.compares++;
-    const peers::PeerAddress peer = neighbours_[nextCompared_++ % neighbours_.size()];
+    isComparing_ = true;
+    counters_.comparisons++;
+    const peers::PeerAddress peer = neighbours_[nextCompareIndex_++ % neighbours_.size()];
     const WallTime horizon = loop_->clock().wallNow() + HorizonMargin;
     wire::CompareRequest request;
-    request.set_digest(board_.digest(horizon));
+    request.set_digest(store_.digest(horizon));
     request.set_horizon_ms(toMs(horizon));
     transport_->send(peer, CompareTopic, request.SerializeAsString(), CallTimeout, [this, peer, horizon](const Result<std::string> &reply) {
-        comparing_ = false;
+        isComparing_ = false;
         if (reply) {
-            onCompared(peer, horizon, reply.value());
+            onCompareReply(peer, horizon, reply.value());
         }
     });
 }
@@ -211,9 +211,9 @@
         return {};
     }
     const WallTime horizon = fromMs(request.horizon_ms());
-    reply.set_equal(board_.digest(horizon) == request.digest());
+    reply.set_equal(store_.digest(horizon) == request.digest());
     if (!reply.equal()) {
-        for (const RumourSummary &summary : board_.summaries(horizon)) {
+        for (const RumourSummary &summary : store_.summaries(horizon)) {
             wire::Summary *held = reply.add_held();
             held->set_id(summary.id);
             held->set_version(summary.version);
@@ -222,21 +222,21 @@
     return reply.SerializeAsString();
 }
 
-void Gossip::onCompared(const peers::PeerAddress &peer, WallTime horizon, const std::string &payload)
+void Gossip::onCompareReply(const peers::PeerAddress &peer, WallTime horizon, const std::string &payload)
 {
     wire::CompareReply reply;
     if (!reply.ParseFromString(payload) || reply.equal()) {
         return;
     }
-    counters_.differences++;
+    counters_.mismatches++;
     std::vector<RumourSummary> theirs;
     theirs.reserve(static_cast<std::size_t>(reply.held_size()));
     for (const wire::Summary &summary : reply.held()) {
         theirs.push_back({summary.id(), summary.version()});
     }
-    const RumourDifference difference = compareSummaries(board_.summaries(horizon), theirs);
+    const RumourDifference difference = compareSummaries(store_.summaries(horizon), theirs);
     wire::ExchangeRequest request;
-    addRumours(board_, difference.offered, request);
+    addRumours(store_, difference.offered, request);
     request.mutable_wanted()->Add(difference.wanted.begin(), difference.wanted.end());
     transport_->send(peer, ExchangeTopic, request.SerializeAsString(), CallTimeout, [this, from = peer.instance](const Result<std::string> &answer) {
         wire::ExchangeReply rumours;
@@ -244,7 +244,7 @@
             return;
         }
         for (const wire::Rumour &rumour : rumours.rumours()) {
-            take(fromWire(rumour), from);
+            accept(fromWire(rumour), from);
         }
     });
 }
@@ -256,10 +256,10 @@
         return {};
     }
     for (const wire::Rumour &rumour : request.rumours()) {
-        take(fromWire(rumour), from);
+        accept(fromWire(rumour), from);
     }
     wire::ExchangeReply reply;
-    addRumours(board_, {request.wanted().data(), static_cast<std::size_t>(request.wanted_size())}, reply);
+    addRumours(store_, {request.wanted().data(), static_cast<std::size_t>(request.wanted_size())}, reply);
     return reply.SerializeAsString();
 }
 
--- a/src/membership/internal/health.cpp
+++ b/src/membership/internal/health.cpp
@@ -6,50 +6,50 @@
 
 namespace {
 
-constexpr std::uint64_t Ranks = 3;
+constexpr std::uint64_t HealthLevels = 3;
 
 } // namespace
 
-std::uint64_t versionOf(const HealthStatement &statement)
+std::uint64_t versionOf(const HealthStatus &status)
 {
-    return statement.incarnation * Ranks + static_cast<std::uint64_t>(statement.health);
+    return status.incarnation * HealthLevels + static_cast<std::uint64_t>(status.health);
 }
 
-HealthStatement statementOf(std::uint64_t version)
+HealthStatus statusOf(std::uint64_t version)
 {
-    return {version / Ranks, static_cast<Health>(version % Ranks)};
+    return {version / HealthLevels, static_cast<Health>(version % HealthLevels)};
 }
 
-bool mustRefute(const HealthStatement &aboutSelf)
+bool mustRefute(const HealthStatus &aboutSelf)
 {
     return aboutSelf.health != Health::Alive;
 }
 
-Duration silence(const ProbeRecord &record, TimePoint now)
+Duration timeSinceHeard(const ProbeRecord &record, TimePoint now)
 {
     return now - std::max(record.firstProbed, record.lastHeard);
 }
 
-void noteHeard(ProbeRecord &record, TimePoint now)
+void recordAnswer(ProbeRecord &record, TimePoint now)
 {
     record.lastHeard = now;
     record.missedRounds = 0;
 }
 
-void noteMissed(ProbeRecord &record)
+void recordMissedRound(ProbeRecord &record)
 {
     record.missedRounds++;
 }
 
-HealthStatement judge(const ProbeRecord &record, const HealthStatement &held, const JudgeFacts &facts, const ProbeLimits &limits)
+HealthStatus nextStatus(const ProbeRecord &record, const HealthStatus &held, const ProbeEvidence &evidence, const FailureThresholds &thresholds)
 {
-    if (facts.selfIsCutOff || record.missedRounds < limits.roundsToSuspect || facts.silentFor < limits.silenceToSuspect) {
+    if (evidence.selfIsPartitioned || record.missedRounds < thresholds.missedRoundsToSuspect || evidence.silentFor < thresholds.silenceToSuspect) {
         return held;
     }
     if (held.health == Health::Alive) {
         return {held.incarnation, Health::Suspected};
     }
-    if (held.health == Health::Suspected && facts.heldFor >= limits.suspicionTimeout) {
+    if (held.health == Health::Suspected && evidence.statusAge >= thresholds.suspicionTimeout) {
         return {held.incarnation, Health::Failed};
     }
     return held;
--- a/src/membership/internal/heartbeat.cpp
+++ b/src/membership/internal/heartbeat.cpp
@@ -12,16 +12,16 @@
 constexpr char PingTopic[] = "heartbeat.ping";
 constexpr char RelayTopic[] = "heartbeat.relay";
 constexpr char HealthTopic[] = "health";
-constexpr Duration Period = std::chrono::milliseconds(500);
-constexpr Duration DirectWait = std::chrono::milliseconds(500);
-constexpr Duration IndirectWait = std::chrono::seconds(1);
+constexpr Duration ProbePeriod = std::chrono::milliseconds(500);
+constexpr Duration DirectTimeout = std::chrono::milliseconds(500);
+constexpr Duration IndirectTimeout = std::chrono::seconds(1);
 // Longer than a round: an answer that comes late is still a sign of life.
 constexpr Duration PingTimeout = std::chrono::seconds(4);
 constexpr Duration HeardWindow = std::chrono::seconds(10);
 // A tick this late means that the process was paused: what it missed says nothing about others.
-constexpr Duration PausedAfter = std::chrono::seconds(2);
-constexpr Duration KeepStatement = std::chrono::hours(2);
-constexpr std::size_t Helpers = 2;
+constexpr Duration PauseThreshold = std::chrono::seconds(2);
+constexpr Duration HealthTtl = std::chrono::hours(2);
+constexpr std::size_t IndirectProbers = 2;
 
 } // namespace
 
@@ -40,18 +40,18 @@
     raw->transport_->handle(
         PingTopic, [raw](const std::string &from, const std::string &payload, const peers::Reply &reply) { raw->onPing(from, payload, reply); });
     raw->transport_->handle(RelayTopic, [raw](const std::string &, const std::string &payload, const peers::Reply &reply) { raw->onRelay(payload, reply); });
-    raw->gossip_->onRumour(HealthTopic, [raw](const Rumour &rumour) { raw->onStatement(rumour); });
+    raw->gossip_->onRumour(HealthTopic, [raw](const Rumour &rumour) { raw->onHealthRumour(rumour); });
     return heartbeat;
 }
 
 void Heartbeat::start()
 {
-    loop_->every(Period, [this] { tick(); });
+    loop_->every(ProbePeriod, [this] { tick(); });
 }
 
 void Heartbeat::tick()
 {
-    const bool wasPaused = loop_->now() - lastTick_ >= PausedAfter;
+    const bool wasPaused = loop_->now() - lastTick_ >= PauseThreshold;
     lastTick_ = loop_->now();
     if (wasPaused) {
         partLogger("membership")->warn("This VM was paused.");
@@ -62,32 +62,32 @@
     if (neighbours.empty()) {
         return;
     }
-    if (nextProbed_ % neighbours.size() == 0) {
-        forgetStrangers();
+    if (nextProbeIndex_ % neighbours.size() == 0) {
+        forgetRemovedVms();
     }
-    const Vm *next = members_->find(neighbours[nextProbed_++ % neighbours.size()].instance);
+    const Vm *next = members_->find(neighbours[nextProbeIndex_++ % neighbours.size()].instance);
     if (next) {
         probe(*next);
     }
     // A neighbour that missed a round is called at each turn, so that it is judged within seconds.
     for (const peers::PeerAddress &neighbour : neighbours) {
         const Vm *vm = members_->find(neighbour.instance);
-        const bool isJudged = members_->healthOf(neighbour.instance) == Health::Failed;
-        if (vm && vm != next && !isJudged && missedLately(neighbour.instance)) {
+        const bool isFailed = members_->healthOf(neighbour.instance) == Health::Failed;
+        if (vm && vm != next && !isFailed && hasMissedRounds(neighbour.instance)) {
             probe(*vm);
             return;
         }
     }
 }
 
-void Heartbeat::forgetStrangers()
+void Heartbeat::forgetRemovedVms()
 {
     const auto isUnknown = [this](const auto &entry) {
         return members_->find(entry.first) == nullptr;
     };
     std::erase_if(records_, isUnknown);
-    std::erase_if(strangers_, isUnknown);
-    std::erase_if(statementSince_, isUnknown);
+    std::erase_if(needsDescription_, isUnknown);
+    std::erase_if(healthChangedAt_, isUnknown);
 }
 
 void Heartbeat::probe(const Vm &target)
@@ -95,7 +95,7 @@
     auto round = std::make_shared<Round>();
     records_.emplace(target.instance, ProbeRecord{loop_->now()});
     wire::Ping ping;
-    if (strangers_[target.instance]) {
+    if (needsDescription_[target.instance]) {
         vmToWire(self_, *ping.mutable_self());
     }
     transport_->send(
@@ -105,45 +105,45 @@
                 return;
             }
             round->answered = true;
-            strangers_[instance] = !answer.knows_sender();
-            heard(instance);
+            needsDescription_[instance] = !answer.knows_sender();
+            onAnswer(instance);
         });
-    loop_->after(DirectWait, [this, round, target] {
+    loop_->after(DirectTimeout, [this, round, target] {
         if (!round->answered) {
-            askOthers(target, round);
+            probeIndirectly(target, round);
         }
     });
 }
 
 // The neighbours of the target have connections to it already.
-void Heartbeat::askOthers(const Vm &target, const RoundPtr &round)
+void Heartbeat::probeIndirectly(const Vm &target, const RoundPtr &round)
 {
     wire::Relay relay;
     relay.set_instance(target.instance);
     relay.set_address(target.address);
     relay.set_port(target.peerPort);
-    std::size_t asked = 0;
+    std::size_t proberCount = 0;
     std::vector<Vm> entries = members_->peers();
     entries.push_back(self_);
     for (const std::string &instance : chooseNeighbours(entries, target.instance)) {
-        const Vm *helper = members_->find(instance);
-        if (!helper || instance == self_.instance || members_->healthOf(instance) != Health::Alive || missedLately(instance)) {
+        const Vm *prober = members_->find(instance);
+        if (!prober || instance == self_.instance || members_->healthOf(instance) != Health::Alive || hasMissedRounds(instance)) {
             continue;
         }
-        transport_->send(peerAddress(*helper), RelayTopic, relay.SerializeAsString(), IndirectWait, [round](const Result<std::string> &reply) {
+        transport_->send(peerAddress(*prober), RelayTopic, relay.SerializeAsString(), IndirectTimeout, [round](const Result<std::string> &reply) {
             round->answered = round->answered || reply.has_value();
         });
-        if (++asked == Helpers) {
+        if (++proberCount == IndirectProbers) {
             break;
         }
     }
-    loop_->after(IndirectWait, [this, round, instance = target.instance] { endRound(instance, round); });
+    loop_->after(IndirectTimeout, [this, round, instance = target.instance] { endRound(instance, round); });
 }
 
 void Heartbeat::endRound(const std::string &instance, const RoundPtr &round)
 {
     // NOTE After a pause the timers run before the answers that wait in the sockets.
-    if (loop_->now() - lastTick_ >= PausedAfter) {
+    if (loop_->now() - lastTick_ >= PauseThreshold) {
         return;
     }
     ProbeRecord &record = records_[instance];
@@ -151,40 +151,40 @@
         record.missedRounds = 0;
         return;
     }
-    noteMissed(record);
-    judgeNeighbour(instance);
+    recordMissedRound(record);
+    updateHealth(instance);
 }
 
-void Heartbeat::judgeNeighbour(const std::string &instance)
+void Heartbeat::updateHealth(const std::string &instance)
 {
     const Rumour *rumour = gossip_->find(HealthTopic, instance);
-    const HealthStatement held = rumour ? statementOf(rumour->version) : HealthStatement{};
+    const HealthStatus held = rumour ? statusOf(rumour->version) : HealthStatus{};
     const ProbeRecord &record = records_[instance];
-    const auto since = statementSince_.find(instance);
-    JudgeFacts facts;
-    facts.silentFor = silence(record, loop_->now());
-    facts.heldFor = since == statementSince_.end() ? Duration(0) : loop_->now() - since->second;
-    facts.selfIsCutOff = isCutOff(reachability());
-    const HealthStatement next = judge(record, held, facts);
+    const auto changedAt = healthChangedAt_.find(instance);
+    ProbeEvidence evidence;
+    evidence.silentFor = timeSinceHeard(record, loop_->now());
+    evidence.statusAge = changedAt == healthChangedAt_.end() ? Duration(0) : loop_->now() - changedAt->second;
+    evidence.selfIsPartitioned = isPartitioned(reachability());
+    const HealthStatus next = nextStatus(record, held, evidence);
     if (versionOf(next) == versionOf(held)) {
         return;
     }
     partLogger("membership")->warn("A VM does not answer. vm={} state={}", instance, nameOf(next.health));
-    gossip_->publish(HealthTopic, instance, versionOf(next), "", KeepStatement);
+    gossip_->publish(HealthTopic, instance, versionOf(next), "", HealthTtl);
 }
 
-void Heartbeat::onStatement(const Rumour &rumour)
+void Heartbeat::onHealthRumour(const Rumour &rumour)
 {
-    const HealthStatement statement = statementOf(rumour.version);
+    const HealthStatus status = statusOf(rumour.version);
     if (rumour.key == self_.instance) {
-        if (mustRefute(statement)) {
-            partLogger("membership")->warn("Others took this VM for {}.", nameOf(statement.health));
-            gossip_->publish(HealthTopic, self_.instance, versionOf({statement.incarnation + 1, Health::Alive}), "", KeepStatement);
+        if (mustRefute(status)) {
+            partLogger("membership")->warn("Others took this VM for {}.", nameOf(status.health));
+            gossip_->publish(HealthTopic, self_.instance, versionOf({status.incarnation + 1, Health::Alive}), "", HealthTtl);
         }
         return;
     }
-    statementSince_[rumour.key] = loop_->now();
-    members_->setHealth(rumour.key, statement.health);
+    healthChangedAt_[rumour.key] = loop_->now();
+    members_->setHealth(rumour.key, status.health);
 }
 
 void Heartbeat::onPing(const std::string &from, const std::string &payload, const peers::Reply &reply)
@@ -208,22 +208,22 @@
         return;
     }
     const peers::PeerAddress target{relay.instance(), relay.address(), static_cast<std::uint16_t>(relay.port())};
-    transport_->send(target, PingTopic, wire::Ping().SerializeAsString(), IndirectWait, [reply](const Result<std::string> &answer) { reply(answer); });
+    transport_->send(target, PingTopic, wire::Ping().SerializeAsString(), IndirectTimeout, [reply](const Result<std::string> &answer) { reply(answer); });
 }
 
-void Heartbeat::heard(const std::string &instance)
+void Heartbeat::onAnswer(const std::string &instance)
 {
     lastAnyHeard_ = loop_->now();
-    noteHeard(records_[instance], loop_->now());
+    recordAnswer(records_[instance], loop_->now());
 }
 
-bool Heartbeat::missedLately(const std::string &instance) const
+bool Heartbeat::hasMissedRounds(const std::string &instance) const
 {
     const auto found = records_.find(instance);
     return found != records_.end() && found->second.missedRounds > 0;
 }
 
-bool Heartbeat::hears(const std::string &instance) const
+bool Heartbeat::isHeardDirectly(const std::string &instance) const
 {
     const auto found = records_.find(instance);
     return found != records_.end() && found->second.missedRounds == 0 && loop_->now() - found->second.lastHeard <= HeardWindow;
@@ -232,14 +232,14 @@
 Reachability Heartbeat::reachability() const
 {
     Reachability result;
-    result.sinceAnyHeard = loop_->now() - lastAnyHeard_;
+    result.timeSinceAnyHeard = loop_->now() - lastAnyHeard_;
     result.neighbours = gossip_->neighbours().size();
     for (const peers::PeerAddress &neighbour : gossip_->neighbours()) {
-        result.neighboursHeard += hears(neighbour.instance) ? 1 : 0;
+        result.neighboursHeard += isHeardDirectly(neighbour.instance) ? 1 : 0;
     }
-    const bool hearsMost = !isCutOff(result);
+    const bool hearsMost = !isPartitioned(result);
     for (const Vm &vm : members_->peers()) {
-        const bool isHeard = hears(vm.instance) || (hearsMost && members_->healthOf(vm.instance) == Health::Alive);
+        const bool isHeard = isHeardDirectly(vm.instance) || (hearsMost && members_->healthOf(vm.instance) == Health::Alive);
         const bool isInRegion = vm.region == self_.region;
         result.listed++;
         result.heard += isHeard ? 1 : 0;
--- a/src/membership/internal/loadwatcher.cpp
+++ b/src/membership/internal/loadpoller.cpp
@@ -1,4 +1,4 @@
-#include "membership/loadwatcher.h"
+#include "membership/loadpoller.h"
 
 #include "http/json.h"
 #include "membership/subset.h"
@@ -13,9 +13,9 @@
 namespace {
 
 constexpr Duration TickPeriod = std::chrono::seconds(1);
-constexpr Duration PollAfter = std::chrono::seconds(5);
+constexpr Duration MaxReportAge = std::chrono::seconds(5);
 constexpr Duration PollTimeout = std::chrono::seconds(1);
-constexpr std::size_t MostPollsATick = 4;
+constexpr std::size_t MaxPollsPerTick = 4;
 
 std::uint32_t countOf(const Json::Value &json, const char *name)
 {
@@ -37,7 +37,7 @@
     return report;
 }
 
-std::vector<std::string> watchedServers(const Members &members)
+std::vector<std::string> polledServers(const Members &members)
 {
     std::map<std::string, std::vector<std::string>> byModel;
     std::vector<std::string> entries{members.self()};
@@ -55,9 +55,9 @@
         }
     }
     std::set<std::string> all;
-    std::map<std::vector<std::string>, bool> done; // Models served by the same servers have the same subset.
+    std::map<std::vector<std::string>, bool> seen; // Models served by the same servers have the same subset.
     for (const auto &[model, servers] : byModel) {
-        if (!done.emplace(servers, true).second) {
+        if (!seen.emplace(servers, true).second) {
             continue;
         }
         const std::vector<std::string> subset = chooseSubset(servers, entries, members.self());
@@ -66,57 +66,57 @@
     return {all.begin(), all.end()};
 }
 
-std::shared_ptr<LoadWatcher> LoadWatcher::create(
+std::shared_ptr<LoadPoller> LoadPoller::create(
     EventLoop &loop, std::shared_ptr<http::Client> client, std::shared_ptr<Members> members, std::shared_ptr<LoadReports> reports)
 {
-    std::shared_ptr<LoadWatcher> watcher(new LoadWatcher);
-    watcher->loop_ = &loop;
-    watcher->client_ = std::move(client);
-    watcher->members_ = std::move(members);
-    watcher->reports_ = std::move(reports);
-    watcher->members_->onChange([raw = watcher.get()] { raw->isStale_ = true; });
-    return watcher;
+    std::shared_ptr<LoadPoller> poller(new LoadPoller);
+    poller->loop_ = &loop;
+    poller->client_ = std::move(client);
+    poller->members_ = std::move(members);
+    poller->reports_ = std::move(reports);
+    poller->members_->onChange([raw = poller.get()] { raw->targetsChanged_ = true; });
+    return poller;
 }
 
-void LoadWatcher::start()
+void LoadPoller::start()
 {
     loop_->every(TickPeriod, [this] { tick(); });
 }
 
-const std::vector<std::string> &LoadWatcher::watched() const
+const std::vector<std::string> &LoadPoller::targets() const
 {
-    return watched_;
+    return targets_;
 }
 
-void LoadWatcher::tick()
+void LoadPoller::tick()
 {
-    if (isStale_) {
-        isStale_ = false;
-        watched_ = watchedServers(*members_);
+    if (targetsChanged_) {
+        targetsChanged_ = false;
+        targets_ = polledServers(*members_);
         reports_->keepOnly([this](const std::string &instance) { return members_->find(instance) != nullptr; });
     }
     std::size_t polls = 0;
-    for (std::size_t i = 0; i < watched_.size() && polls < MostPollsATick; i++) {
-        const std::string &instance = watched_[next_++ % watched_.size()];
+    for (std::size_t i = 0; i < targets_.size() && polls < MaxPollsPerTick; i++) {
+        const std::string &instance = targets_[nextTarget_++ % targets_.size()];
         const auto last = reports_->load(instance);
         const Vm *server = members_->find(instance);
-        if (server && server->state == VmState::Live && !asked_.contains(instance) && (!last || last->age >= PollAfter)) {
+        if (server && server->state == VmState::Live && !inFlight_.contains(instance) && (!last || last->age >= MaxReportAge)) {
             polls++;
             poll(*server);
         }
     }
 }
 
-void LoadWatcher::poll(const Vm &server)
+void LoadPoller::poll(const Vm &server)
 {
-    asked_.insert(server.instance);
+    inFlight_.insert(server.instance);
     http::ClientRequest request;
     request.url = fmt::format("http://{}:{}/load", server.address, server.port);
     request.headers["X-Instance"] = server.instance;
     request.timeout = PollTimeout;
     http::ClientHooks hooks;
     hooks.onDone = [this, instance = server.instance](const http::ClientResult &result) {
-        asked_.erase(instance);
+        inFlight_.erase(instance);
         const auto json = result.status == 200 ? http::parseJson(result.body) : std::nullopt;
         const auto report = json ? loadReportFromJson(*json) : std::nullopt;
         if (!report) {
--- a/src/membership/internal/loadreports.cpp
+++ b/src/membership/internal/loadreports.cpp
@@ -28,7 +28,7 @@
     if (found == entries_.end()) {
         return std::nullopt;
     }
-    return AgedLoadReport{found->second.report, loop_->now() - found->second.heard};
+    return AgedLoadReport{found->second.report, loop_->now() - found->second.receivedAt};
 }
 
 void LoadReports::forget(const std::string &instance)
--- a/src/membership/internal/members.cpp
+++ b/src/membership/internal/members.cpp
@@ -6,8 +6,8 @@
 
 namespace {
 
-constexpr Duration KeepProvisional = std::chrono::minutes(3);
-constexpr Duration KeepMark = std::chrono::hours(24);
+constexpr Duration ProvisionalTtl = std::chrono::minutes(3);
+constexpr Duration MarkRetention = std::chrono::hours(24);
 
 } // namespace
 
@@ -57,7 +57,7 @@
     if (vm.instance == self_ || listed_.contains(vm.instance)) {
         return;
     }
-    provisional_[vm.instance] = {vm, now() + KeepProvisional};
+    provisional_[vm.instance] = {vm, now() + ProvisionalTtl};
     rebuild();
 }
 
@@ -74,7 +74,7 @@
     return true;
 }
 
-bool Members::takeMark(const std::string &instance, LeavingMark mark)
+bool Members::applyRemoteMark(const std::string &instance, LeavingMark mark)
 {
     mark.known = now();
     if (!addMark(instance, std::move(mark))) {
@@ -94,7 +94,7 @@
     return marks_.contains(instance);
 }
 
-std::optional<LeavingMark> Members::markOf(const std::string &instance) const
+std::optional<LeavingMark> Members::leavingMark(const std::string &instance) const
 {
     const auto found = marks_.find(instance);
     return found == marks_.end() ? std::nullopt : std::optional(found->second.mark);
@@ -138,10 +138,10 @@
 
 void Members::onChange(std::function<void()> handler)
 {
-    handlers_.push_back(std::move(handler));
+    changeHandlers_.push_back(std::move(handler));
 }
 
-void Members::onOwnMark(MarkHandler handler)
+void Members::onLocalMark(MarkHandler handler)
 {
     markHandlers_.push_back(std::move(handler));
 }
@@ -193,14 +193,14 @@
     }
 }
 
-void Members::forgetOld()
+void Members::removeExpired()
 {
     if (!clock_) {
         return;
     }
     std::erase_if(provisional_, [this](const auto &entry) { return entry.second.until <= now(); });
     std::erase_if(unreachable_, [this](const auto &entry) { return entry.second <= now(); });
-    std::erase_if(marks_, [this](const auto &entry) { return !listed_.contains(entry.first) && entry.second.lastListed + KeepMark <= now(); });
+    std::erase_if(marks_, [this](const auto &entry) { return !listed_.contains(entry.first) && entry.second.lastListed + MarkRetention <= now(); });
     rebuild();
     std::erase_if(health_, [this](const auto &entry) { return !vms_.contains(entry.first); });
 }
@@ -222,7 +222,7 @@
 
 void Members::notify()
 {
-    const std::vector<std::function<void()>> handlers = handlers_;
+    const std::vector<std::function<void()>> handlers = changeHandlers_;
     for (const auto &handler : handlers) {
         handler();
     }
--- a/src/membership/internal/spread.cpp
+++ b/src/membership/internal/membershipgossip.cpp
@@ -1,4 +1,4 @@
-#include "membership/spread.h"
+#include "membership/membershipgossip.h"
 
 #include "kernel/log.h"
 #include "membership/membership.pb.h"
@@ -13,12 +13,12 @@
 constexpr char LeavingTopic[] = "leaving";
 constexpr char ListedTopic[] = "vm";
 constexpr char UnreachableTopic[] = "unreachable";
-constexpr Duration KeepLeaving = std::chrono::hours(24);
-constexpr Duration KeepListed = std::chrono::minutes(10);
-constexpr Duration UnreachableTime = std::chrono::seconds(10);
+constexpr Duration LeavingTtl = std::chrono::hours(24);
+constexpr Duration ListedTtl = std::chrono::minutes(10);
+constexpr Duration UnreachableDuration = std::chrono::seconds(10);
 constexpr Duration RefusalWindow = std::chrono::seconds(10);
 constexpr unsigned RefusalsToConfirm = 3;
-constexpr std::size_t MostRefusals = 4096;
+constexpr std::size_t MaxTrackedServers = 4096;
 constexpr std::uint64_t ReporterBits = 16;
 
 std::int64_t toMs(WallTime time)
@@ -33,64 +33,65 @@
 
 /// Orders words: by the period they fall in, confirmed ones above single ones, then by reporter. Two reporters that speak at
 /// once thus have different versions, and one of them hears the other.
-std::uint64_t wordVersion(const UnreachableWord &word)
+std::uint64_t reportVersion(const UnreachableReport &report)
 {
-    const auto period = static_cast<std::uint64_t>(word.until.time_since_epoch() / UnreachableTime);
-    const std::uint64_t reporter = text::stableHash(word.reporter) >> (64 - ReporterBits);
-    return ((period * 2 + (word.confirmed ? 1 : 0)) << ReporterBits) + reporter;
+    const auto period = static_cast<std::uint64_t>(report.until.time_since_epoch() / UnreachableDuration);
+    const std::uint64_t reporter = text::stableHash(report.reporter) >> (64 - ReporterBits);
+    return ((period * 2 + (report.confirmed ? 1 : 0)) << ReporterBits) + reporter;
 }
 
-std::optional<UnreachableWord> readWord(const Rumour &rumour)
+std::optional<UnreachableReport> parseReport(const Rumour &rumour)
 {
     wire::Unreachable in;
     if (!in.ParseFromString(rumour.payload)) {
         return std::nullopt;
     }
-    return UnreachableWord{rumour.version, in.reporter(), in.confirmed(), fromMs(in.until_ms())};
+    return UnreachableReport{rumour.version, in.reporter(), in.confirmed(), fromMs(in.until_ms())};
 }
 
 } // namespace
 
-std::optional<UnreachableWord> nextWord(const std::string &self, const OwnRefusals &own, const std::optional<UnreachableWord> &held, WallTime now)
+std::optional<UnreachableReport> nextUnreachableReport(
+    const std::string &self, const LocalRefusals &local, const std::optional<UnreachableReport> &held, WallTime now)
 {
     const bool isHeld = held && held->until > now;
     if (isHeld && held->confirmed) {
         return std::nullopt;
     }
-    UnreachableWord word{0, self, false, now + UnreachableTime};
-    word.confirmed = own.count >= RefusalsToConfirm || (isHeld && held->reporter != self);
-    if (isHeld && !word.confirmed) {
+    UnreachableReport report{0, self, false, now + UnreachableDuration};
+    report.confirmed = local.count >= RefusalsToConfirm || (isHeld && held->reporter != self);
+    if (isHeld && !report.confirmed) {
         return std::nullopt;
     }
-    word.version = wordVersion(word);
-    return word;
+    report.version = reportVersion(report);
+    return report;
 }
 
-std::shared_ptr<MemberSpread> MemberSpread::create(EventLoop &loop, std::shared_ptr<Members> members, std::shared_ptr<Gossip> gossip)
+std::shared_ptr<MembershipGossip> MembershipGossip::create(EventLoop &loop, std::shared_ptr<Members> members, std::shared_ptr<Gossip> gossip)
 {
-    std::shared_ptr<MemberSpread> spread(new MemberSpread);
-    MemberSpread *raw = spread.get();
+    std::shared_ptr<MembershipGossip> membershipGossip(new MembershipGossip);
+    MembershipGossip *raw = membershipGossip.get();
     raw->loop_ = &loop;
     raw->members_ = std::move(members);
     raw->gossip_ = std::move(gossip);
     raw->members_->onChange([raw] { raw->updateNeighbours(); });
-    raw->members_->onOwnMark([raw](const std::string &instance, const LeavingMark &mark) {
+    raw->members_->onLocalMark([raw](const std::string &instance, const LeavingMark &mark) {
         partLogger("membership")->info("A VM is leaving. vm={} source={}", instance, nameOf(mark.source));
         wire::LeavingMark out;
         out.set_source(static_cast<std::uint32_t>(mark.source));
         out.set_reporter(mark.reporter);
         out.set_seen_at_ms(toMs(mark.seen));
-        raw->gossip_->publish(LeavingTopic, instance, 1, out.SerializeAsString(), KeepLeaving);
+        raw->gossip_->publish(LeavingTopic, instance, 1, out.SerializeAsString(), LeavingTtl);
     });
     raw->members_->onUnreachableReport([raw](const std::string &instance) { raw->onRefusal(instance); });
     raw->gossip_->onRumour(LeavingTopic, [raw](const Rumour &rumour) { raw->onLeaving(rumour); });
     raw->gossip_->onRumour(ListedTopic, [raw](const Rumour &rumour) { raw->onListed(rumour); });
     raw->gossip_->onRumour(UnreachableTopic, [raw](const Rumour &rumour) { raw->onUnreachable(rumour); });
     raw->updateNeighbours();
-    return spread;
+    return membershipGossip;
 }
 
-void MemberSpread::updateNeighbours()
+void MembershipGossip::updateNeighbours()
 {
     std::vector<peers::PeerAddress> neighbours;
     for (const std::string &instance : chooseNeighbours(members_->peers(), members_->self())) {
@@ -99,14 +100,14 @@
     gossip_->setNeighbours(std::move(neighbours));
 }
 
-void MemberSpread::spreadListed(const Vm &vm)
+void MembershipGossip::publishListed(const Vm &vm)
 {
     wire::Vm out;
     vmToWire(vm, out);
-    gossip_->publish(ListedTopic, vm.instance, 1, out.SerializeAsString(), KeepListed);
+    gossip_->publish(ListedTopic, vm.instance, 1, out.SerializeAsString(), ListedTtl);
 }
 
-void MemberSpread::onLeaving(const Rumour &rumour)
+void MembershipGossip::onLeaving(const Rumour &rumour)
 {
     wire::LeavingMark in;
     if (!in.ParseFromString(rumour.payload)) {
@@ -116,12 +117,12 @@
     mark.source = in.source() <= static_cast<std::uint32_t>(LeavingSource::LoadReport) ? static_cast<LeavingSource>(in.source()) : LeavingSource::Notice;
     mark.reporter = in.reporter();
     mark.seen = fromMs(in.seen_at_ms());
-    if (members_->takeMark(rumour.key, mark)) {
+    if (members_->applyRemoteMark(rumour.key, mark)) {
         partLogger("membership")->info("A VM is leaving. vm={} source={} reporter={}", rumour.key, nameOf(mark.source), mark.reporter);
     }
 }
 
-void MemberSpread::onListed(const Rumour &rumour)
+void MembershipGossip::onListed(const Rumour &rumour)
 {
     wire::Vm in;
     if (in.ParseFromString(rumour.payload) && in.instance() == rumour.key) {
@@ -129,51 +130,51 @@
     }
 }
 
-void MemberSpread::onRefusal(const std::string &instance)
+void MembershipGossip::onRefusal(const std::string &instance)
 {
     const WallTime now = loop_->clock().wallNow();
-    if (refusals_.size() >= MostRefusals) {
+    if (refusals_.size() >= MaxTrackedServers) {
         std::erase_if(refusals_, [now](const auto &entry) { return entry.second.first + RefusalWindow <= now; });
     }
-    OwnRefusals &own = refusals_[instance];
-    if (own.count == 0 || own.first + RefusalWindow <= now) {
-        own = {0, now};
+    LocalRefusals &local = refusals_[instance];
+    if (local.count == 0 || local.first + RefusalWindow <= now) {
+        local = {0, now};
     }
-    own.count++;
+    local.count++;
     const Rumour *held = gossip_->find(UnreachableTopic, instance);
-    const auto word = nextWord(members_->self(), own, held ? readWord(*held) : std::nullopt, now);
-    if (word) {
-        spreadWord(instance, *word);
+    const auto report = nextUnreachableReport(members_->self(), local, held ? parseReport(*held) : std::nullopt, now);
+    if (report) {
+        publishReport(instance, *report);
     }
 }
 
-void MemberSpread::spreadWord(const std::string &instance, const UnreachableWord &word)
+void MembershipGossip::publishReport(const std::string &instance, const UnreachableReport &report)
 {
     wire::Unreachable out;
-    out.set_reporter(word.reporter);
-    out.set_confirmed(word.confirmed);
-    out.set_until_ms(toMs(word.until));
-    gossip_->publish(UnreachableTopic, instance, word.version, out.SerializeAsString(), 2 * UnreachableTime);
+    out.set_reporter(report.reporter);
+    out.set_confirmed(report.confirmed);
+    out.set_until_ms(toMs(report.until));
+    gossip_->publish(UnreachableTopic, instance, report.version, out.SerializeAsString(), 2 * UnreachableDuration);
 }
 
-void MemberSpread::onUnreachable(const Rumour &rumour)
+void MembershipGossip::onUnreachable(const Rumour &rumour)
 {
     const WallTime now = loop_->clock().wallNow();
-    const auto word = readWord(rumour);
-    if (!word || word->until <= now) {
+    const auto report = parseReport(rumour);
+    if (!report || report->until <= now) {
         return;
     }
-    if (word->confirmed) {
-        members_->setUnreachable(rumour.key, word->until);
+    if (report->confirmed) {
+        members_->setUnreachable(rumour.key, report->until);
         return;
     }
-    const auto own = refusals_.find(rumour.key);
-    if (own == refusals_.end() || own->second.first + RefusalWindow <= now) {
+    const auto local = refusals_.find(rumour.key);
+    if (local == refusals_.end() || local->second.first + RefusalWindow <= now) {
         return;
     }
-    const auto confirmation = nextWord(members_->self(), own->second, word, now);
+    const auto confirmation = nextUnreachableReport(members_->self(), local->second, report, now);
     if (confirmation) {
-        spreadWord(rumour.key, *confirmation);
+        publishReport(rumour.key, *confirmation);
     }
 }
 
--- a/src/membership/internal/memberstatus.cpp
+++ b/src/membership/internal/memberstatus.cpp
@@ -17,7 +17,7 @@
     json["instance"] = vm.instance;
     json["zone"] = vm.zone;
     json["leaving"] = vm.state != VmState::Live;
-    if (const auto mark = members.markOf(vm.instance)) {
+    if (const auto mark = members.leavingMark(vm.instance)) {
         json["leavingSource"] = std::string(nameOf(mark->source));
         json["leavingReporter"] = mark->reporter;
         json["leavingSeenAtMs"] = toMs(mark->seen);
--- a/src/membership/internal/overlay.cpp
+++ b/src/membership/internal/overlay.cpp
@@ -9,11 +9,11 @@
 
 namespace {
 
-constexpr std::size_t Rings = MostNeighbours / 2;
+constexpr std::size_t RingCount = MaxNeighbours / 2;
 
-using RingPlace = std::pair<std::uint64_t, const Vm *>;
+using RingPosition = std::pair<std::uint64_t, const Vm *>;
 
-bool isBefore(const RingPlace &a, const RingPlace &b)
+bool isBefore(const RingPosition &a, const RingPosition &b)
 {
     return a.first != b.first ? a.first < b.first : a.second->instance < b.second->instance;
 }
@@ -33,7 +33,7 @@
         if (vm.instance == self || vm.state == VmState::Gone) {
             continue;
         }
-        if (others.size() == MostNeighbours) {
+        if (others.size() == MaxNeighbours) {
             return {};
         }
         others.push_back(vm.instance);
@@ -42,19 +42,19 @@
 }
 
 /// The VMs just before and just after @p own on the ring of salt @p ring; null if there is no other VM.
-std::pair<const Vm *, const Vm *> besideOnRing(std::span<const Vm> entries, const std::string &self, std::uint64_t ring)
+std::pair<const Vm *, const Vm *> adjacentOnRing(std::span<const Vm> entries, const std::string &self, std::uint64_t ring)
 {
     const Vm own{self};
-    const RingPlace place{text::stableHash(self, ring), &own};
-    RingPlace first{}, last{}, before{}, after{};
+    const RingPosition position{text::stableHash(self, ring), &own};
+    RingPosition first{}, last{}, before{}, after{};
     for (const Vm &vm : entries) {
         if (vm.instance == self || vm.state == VmState::Gone) {
             continue;
         }
-        const RingPlace other{text::stableHash(vm.instance, ring), &vm};
+        const RingPosition other{text::stableHash(vm.instance, ring), &vm};
         first = !first.second || isBefore(other, first) ? other : first;
         last = !last.second || isBefore(last, other) ? other : last;
-        if (isBefore(other, place)) {
+        if (isBefore(other, position)) {
             before = !before.second || isBefore(before, other) ? other : before;
         } else {
             after = !after.second || isBefore(other, after) ? other : after;
@@ -71,8 +71,8 @@
     if (!result.empty()) {
         return result;
     }
-    for (std::uint64_t ring = 0; ring < Rings; ring++) {
-        const auto [before, after] = besideOnRing(entries, self, ring);
+    for (std::uint64_t ring = 0; ring < RingCount; ring++) {
+        const auto [before, after] = adjacentOnRing(entries, self, ring);
         if (!before) {
             return result;
         }
--- a/src/membership/internal/reachability.cpp
+++ b/src/membership/internal/reachability.cpp
@@ -2,12 +2,12 @@
 
 namespace cardamomlift::membership {
 
-bool isAlone(const Reachability &reachability)
+bool isIsolated(const Reachability &reachability)
 {
     return reachability.neighbours > 0 && reachability.neighboursHeard == 0;
 }
 
-bool isCutOff(const Reachability &reachability)
+bool isPartitioned(const Reachability &reachability)
 {
     return reachability.neighboursHeard * 2 < reachability.neighbours;
 }
--- a/src/membership/internal/rumourboard.cpp
+++ b/src/membership/internal/rumourstore.cpp
@@ -1,4 +1,4 @@
-#include "membership/rumourboard.h"
+#include "membership/rumourstore.h"
 
 #include "text/digest.h"
 
@@ -22,50 +22,50 @@
     return text::stableHash(key, text::stableHash(topic));
 }
 
-RumourBoard::RumourBoard(RumourLimits limits)
+RumourStore::RumourStore(RumourLimits limits)
     : limits_(limits)
 {
 }
 
-OfferOutcome RumourBoard::offer(const Rumour &rumour, WallTime now)
+OfferOutcome RumourStore::offer(const Rumour &rumour, WallTime now)
 {
-    if (rumour.expires <= now || rumour.payload.size() > limits_.longestPayload) {
-        return OfferOutcome::Refused;
+    if (rumour.expires <= now || rumour.payload.size() > limits_.maxPayloadBytes) {
+        return OfferOutcome::Rejected;
     }
-    const Place place{rumour.topic, rumour.key};
-    const auto held = rumours_.find(place);
+    const StoreKey storeKey{rumour.topic, rumour.key};
+    const auto held = rumours_.find(storeKey);
     if (held != rumours_.end() && held->second.version >= rumour.version) {
         return OfferOutcome::Known;
     }
-    if (held == rumours_.end() && rumours_.size() >= limits_.mostRumours) {
-        return OfferOutcome::Refused;
+    if (held == rumours_.end() && rumours_.size() >= limits_.maxRumours) {
+        return OfferOutcome::Rejected;
     }
-    Rumour &entry = rumours_[place];
+    Rumour &entry = rumours_[storeKey];
     entry = rumour;
     byId_[rumourId(rumour.topic, rumour.key)] = &entry;
-    return OfferOutcome::News;
+    return OfferOutcome::Accepted;
 }
 
-const Rumour *RumourBoard::find(const std::string &topic, const std::string &key) const
+const Rumour *RumourStore::find(const std::string &topic, const std::string &key) const
 {
     const auto found = rumours_.find({topic, key});
     return found == rumours_.end() ? nullptr : &found->second;
 }
 
-const Rumour *RumourBoard::findById(std::uint64_t id) const
+const Rumour *RumourStore::findById(std::uint64_t id) const
 {
     const auto found = byId_.find(id);
     return found == byId_.end() ? nullptr : found->second;
 }
 
-void RumourBoard::forEach(const std::string &topic, const std::function<void(const Rumour &)> &visit) const
+void RumourStore::forEach(const std::string &topic, const std::function<void(const Rumour &)> &visit) const
 {
     for (auto entry = rumours_.lower_bound({topic, ""}); entry != rumours_.end() && entry->first.first == topic; ++entry) {
         visit(entry->second);
     }
 }
 
-std::uint64_t RumourBoard::digest(WallTime horizon) const
+std::uint64_t RumourStore::digest(WallTime horizon) const
 {
     std::uint64_t result = 0;
     for (const RumourSummary &summary : summaries(horizon)) {
@@ -74,7 +74,7 @@
     return result;
 }
 
-std::vector<RumourSummary> RumourBoard::summaries(WallTime horizon) const
+std::vector<RumourSummary> RumourStore::summaries(WallTime horizon) const
 {
     std::vector<RumourSummary> result;
     result.reserve(byId_.size());
@@ -86,7 +86,7 @@
     return result;
 }
 
-void RumourBoard::dropExpired(WallTime now)
+void RumourStore::dropExpired(WallTime now)
 {
     for (auto entry = rumours_.begin(); entry != rumours_.end();) {
         if (entry->second.expires > now) {
@@ -98,7 +98,7 @@
     }
 }
 
-std::size_t RumourBoard::size() const
+std::size_t RumourStore::size() const
 {
     return rumours_.size();
 }
--- a/src/membership/internal/subset.cpp
+++ b/src/membership/internal/subset.cpp
@@ -8,9 +8,9 @@
 
 namespace {
 
-constexpr std::size_t LeastUsers = 3;
+constexpr std::size_t MinEntriesPerServer = 3;
 // Room above the mean: more room changes less when a VM goes, less room is more even.
-constexpr std::size_t RoomPercent = 125;
+constexpr std::size_t CapacityPercent = 125;
 
 struct Ranked {
     std::uint64_t hash = 0;
@@ -42,26 +42,27 @@
 }
 
 /// All of @p hashes as @p own ranks them, best first.
-std::vector<Ranked> rank(std::uint64_t own, std::span<const std::uint64_t> hashes)
+std::vector<Ranked> rank(std::uint64_t ownHash, std::span<const std::uint64_t> hashes)
 {
     std::vector<Ranked> ranked;
     ranked.reserve(hashes.size());
     for (std::size_t i = 0; i < hashes.size(); i++) {
-        ranked.push_back({mix(own, hashes[i]), i});
+        ranked.push_back({mix(ownHash, hashes[i]), i});
     }
     return ranked;
 }
 
 /// The first @p count entries in rank order that have room; takes the room.
-void pickUsers(std::vector<Ranked> ranked, std::size_t count, std::size_t cap, std::vector<std::size_t> &used, std::vector<std::size_t> &picked)
+void pickEntries(
+    std::vector<Ranked> ranked, std::size_t count, std::size_t maxServersPerEntry, std::vector<std::size_t> &assigned, std::vector<std::size_t> &picked)
 {
     std::make_heap(ranked.begin(), ranked.end(), [](const Ranked &a, const Ranked &b) { return b < a; });
     while (!ranked.empty() && picked.size() < count) {
         std::pop_heap(ranked.begin(), ranked.end(), [](const Ranked &a, const Ranked &b) { return b < a; });
         const std::size_t entry = ranked.back().index;
         ranked.pop_back();
-        if (used[entry] < cap) {
-            used[entry]++;
+        if (assigned[entry] < maxServersPerEntry) {
+            assigned[entry]++;
             picked.push_back(entry);
         }
     }
@@ -75,12 +76,12 @@
 }
 
 /// Adds the own best servers until there are @p least.
-void topUp(std::vector<std::string> &subset, std::span<const std::string> servers, const std::string &self, std::size_t least)
+void addOwnPicks(std::vector<std::string> &subset, std::span<const std::string> servers, const std::string &self, std::size_t minimum)
 {
     std::vector<Ranked> ranked = rank(text::stableHash(self), hashesOf(servers));
     std::sort(ranked.begin(), ranked.end());
     for (const Ranked &next : ranked) {
-        if (subset.size() >= least) {
+        if (subset.size() >= minimum) {
             return;
         }
         if (std::find(subset.begin(), subset.end(), servers[next.index]) == subset.end()) {
@@ -91,12 +92,12 @@
 
 } // namespace
 
-std::size_t usersPerServer(std::size_t servers, std::size_t entries, std::size_t size)
+std::size_t entriesPerServer(std::size_t servers, std::size_t entries, std::size_t size)
 {
     if (servers == 0) {
         return 0;
     }
-    return std::min(entries, std::max(LeastUsers, (size * entries + servers - 1) / servers));
+    return std::min(entries, std::max(MinEntriesPerServer, (size * entries + servers - 1) / servers));
 }
 
 std::vector<std::string> chooseSubset(std::span<const std::string> servers, std::span<const std::string> entries, const std::string &self, std::size_t size)
@@ -108,19 +109,19 @@
     const std::vector<std::string> sortedEntries = sorted(entries);
     const std::vector<std::uint64_t> entryHashes = hashesOf(sortedEntries);
     const std::vector<std::uint64_t> serverHashes = hashesOf(sortedServers);
-    const std::size_t users = usersPerServer(servers.size(), entries.size(), size);
-    const std::size_t cap = (users * servers.size() * RoomPercent / 100 + entries.size()) / std::max<std::size_t>(1, entries.size());
-    std::vector<std::size_t> used(sortedEntries.size());
+    const std::size_t serverEntries = entriesPerServer(servers.size(), entries.size(), size);
+    const std::size_t maxServersPerEntry = (serverEntries * servers.size() * CapacityPercent / 100 + entries.size()) / std::max<std::size_t>(1, entries.size());
+    std::vector<std::size_t> assigned(sortedEntries.size());
     std::vector<std::string> subset;
     for (std::size_t i = 0; i < sortedServers.size(); i++) {
         std::vector<std::size_t> picked;
-        pickUsers(rank(serverHashes[i], entryHashes), users, cap, used, picked);
-        const bool isMine = std::any_of(picked.begin(), picked.end(), [&](std::size_t entry) { return sortedEntries[entry] == self; });
-        if (isMine) {
+        pickEntries(rank(serverHashes[i], entryHashes), serverEntries, maxServersPerEntry, assigned, picked);
+        const bool isPicked = std::any_of(picked.begin(), picked.end(), [&](std::size_t entry) { return sortedEntries[entry] == self; });
+        if (isPicked) {
             subset.push_back(sortedServers[i]);
         }
     }
-    topUp(subset, sortedServers, self, size / 2);
+    addOwnPicks(subset, sortedServers, self, size / 2);
     std::sort(subset.begin(), subset.end());
     return subset;
 }
--- a/src/membership/internal/vmlist.cpp
+++ b/src/membership/internal/vmlist.cpp
@@ -14,9 +14,9 @@
 constexpr std::array<std::pair<VmRole, std::string_view>, 3> RoleNames{{{VmRole::Entry, "entry"}, {VmRole::Model, "model"}, {VmRole::Service, "service"}}};
 constexpr std::array<std::pair<VmState, std::string_view>, 3> StateNames{{{VmState::Live, "live"}, {VmState::Leaving, "leaving"}, {VmState::Gone, "gone"}}};
 constexpr Duration ReadTimeout = std::chrono::seconds(2);
-constexpr Duration ShortestPeriod = std::chrono::milliseconds(500);
-constexpr Duration LongestPeriod = std::chrono::minutes(2);
-constexpr Duration FleetPeriod = std::chrono::milliseconds(250); // Between two readings of any VMs.
+constexpr Duration MinReadInterval = std::chrono::milliseconds(500);
+constexpr Duration MaxReadInterval = std::chrono::minutes(2);
+constexpr Duration FleetReadInterval = std::chrono::milliseconds(250); // Between two readings of any VMs.
 
 template<class Enum, std::size_t Size>
 std::optional<Enum> byName(const std::array<std::pair<Enum, std::string_view>, Size> &names, const std::string &name)
@@ -47,20 +47,20 @@
 
 } // namespace
 
-Duration listPeriod(std::size_t entries)
+Duration listReadInterval(std::size_t entries)
 {
-    return std::clamp(FleetPeriod * static_cast<std::int64_t>(entries), ShortestPeriod, LongestPeriod);
+    return std::clamp(FleetReadInterval * static_cast<std::int64_t>(entries), MinReadInterval, MaxReadInterval);
 }
 
-Duration listWait(std::size_t entries, const std::string &self, std::uint64_t reading)
+Duration listReadDelay(std::size_t entries, const std::string &self, std::uint64_t readNumber)
 {
     constexpr std::uint64_t Steps = 1000;
-    const Duration period = listPeriod(entries);
-    const auto part = static_cast<std::int64_t>(text::stableHash(self, reading) % Steps);
+    const Duration interval = listReadInterval(entries);
+    const auto fraction = static_cast<std::int64_t>(text::stableHash(self, readNumber) % Steps);
     const auto steps = static_cast<std::int64_t>(Steps);
     // The first wait spreads the VMs over a whole period, later ones keep them apart.
-    const Duration wait = reading == 1 ? period * part / steps : period * (steps + part) * 2 / (steps * 3);
-    return std::max(wait, ShortestPeriod);
+    const Duration delay = readNumber == 1 ? interval * fraction / steps : interval * (steps + fraction) * 2 / (steps * 3);
+    return std::max(delay, MinReadInterval);
 }
 
 std::optional<Vm> vmFromJson(const Json::Value &json)
@@ -145,11 +145,11 @@
     return counters_;
 }
 
-void VmListReader::readLater()
+void VmListReader::scheduleRead()
 {
     // Until the list was read once, this VM knows of no peers that could tell it anything.
-    const Duration wait = hasRead_ ? listWait(members_->peers().size() + 1, members_->self(), ++readings_) : ShortestPeriod;
-    loop_->after(wait, [this] { read(); });
+    const Duration delay = hasRead_ ? listReadDelay(members_->peers().size() + 1, members_->self(), ++readCount_) : MinReadInterval;
+    loop_->after(delay, [this] { read(); });
 }
 
 void VmListReader::read()
@@ -165,7 +165,7 @@
         const auto json = result.status == 200 ? http::parseJson(result.body) : std::nullopt;
         if (!json || !(*json)["vms"].isArray()) {
             partLogger("membership")->warn("The VM list can't be read. error={}", result.error);
-            readLater();
+            scheduleRead();
             return;
         }
         std::vector<Vm> list;
@@ -174,13 +174,13 @@
                 list.push_back(std::move(*vm));
             }
         }
-        takeList(list);
-        readLater();
+        onList(list);
+        scheduleRead();
     };
     client_->start(std::move(request), std::move(hooks));
 }
 
-void VmListReader::takeList(std::span<const Vm> list)
+void VmListReader::onList(std::span<const Vm> list)
 {
     std::vector<Vm> firstSeen;
     for (const Vm &vm : list) {
--- a/src/membership/loadreports.h
+++ b/src/membership/loadreports.h
@@ -46,7 +46,7 @@
 private:
     struct Entry {
         LoadReport report;
-        TimePoint heard;
+        TimePoint receivedAt;
     };
     LoadReports() = default;
     EventLoop *loop_ = nullptr;
--- a/src/membership/members.h
+++ b/src/membership/members.h
@@ -34,9 +34,9 @@
     /// Marks an instance as leaving, for good. Says whether that is news.
     bool markLeaving(const std::string &instance, LeavingSource source = LeavingSource::Notice);
     /// Takes over a mark that another VM made. Says whether that is news.
-    bool takeMark(const std::string &instance, LeavingMark mark);
+    bool applyRemoteMark(const std::string &instance, LeavingMark mark);
     bool isLeaving(const std::string &instance) const;
-    std::optional<LeavingMark> markOf(const std::string &instance) const;
+    std::optional<LeavingMark> leavingMark(const std::string &instance) const;
     /// The VM of this instance, or null.
     const Vm *find(const std::string &instance) const;
     /// Live servers of a model or plain service. Those that refuse connections are left out, unless all do.
@@ -47,7 +47,7 @@
     /// Calls @p handler after each change of the set or of a mark.
     void onChange(std::function<void()> handler);
     /// Calls @p handler for each mark made on this VM, to spread it. Marks taken over from others are not reported.
-    void onOwnMark(MarkHandler handler);
+    void onLocalMark(MarkHandler handler);
 
     /// This VM could not connect to a backend server. With the word of another VM it becomes unreachable for a while.
     void reportUnreachable(const std::string &instance);
@@ -63,7 +63,7 @@
     void setHealth(const std::string &instance, Health health);
 
     /// Forgets what is too old: provisional VMs, and marks of instances that the list has not shown for a day.
-    void forgetOld();
+    void removeExpired();
     std::size_t markCount() const;
 
 private:
@@ -89,7 +89,7 @@
     std::map<std::string, Mark> marks_;
     std::map<std::string, WallTime> unreachable_;
     std::map<std::string, Health> health_;
-    std::vector<std::function<void()>> handlers_;
+    std::vector<std::function<void()>> changeHandlers_;
     std::vector<MarkHandler> markHandlers_;
     std::vector<std::function<void(const std::string &)>> unreachableHandlers_;
 };
--- a/src/membership/membershipmodule.cpp
+++ b/src/membership/membershipmodule.cpp
@@ -2,9 +2,9 @@
 #include "kernel/runtime.h"
 #include "membership/gossip.h"
 #include "membership/heartbeat.h"
+#include "membership/loadpoller.h"
 #include "membership/loadreports.h"
-#include "membership/loadwatcher.h"
-#include "membership/spread.h"
+#include "membership/membershipgossip.h"
 #include "membership/vmlist.h"
 #include "metrics/metrics.h"
 #include "peers/peertransport.h"
@@ -14,7 +14,7 @@
 
 namespace {
 
-constexpr Duration ForgetPeriod = std::chrono::seconds(30);
+constexpr Duration RemoveExpiredPeriod = std::chrono::seconds(30);
 
 Vm selfOf(const settings::Settings &settings, const peers::PeerTransport &transport)
 {
@@ -59,28 +59,28 @@
         const auto client = context.get<http::Client>();
         auto members = Members::create(settings->instance, &loop.clock());
         auto gossip = Gossip::create(loop, transport);
-        auto spread = MemberSpread::create(loop, members, gossip);
+        auto membershipGossip = MembershipGossip::create(loop, members, gossip);
         auto heartbeat = Heartbeat::create(loop, transport, members, gossip, selfOf(*settings, *transport));
         auto reports = LoadReports::create(loop);
-        auto watcher = LoadWatcher::create(loop, client, members, reports);
+        auto poller = LoadPoller::create(loop, client, members, reports);
         gossip->start();
         heartbeat->start();
-        watcher->start();
-        loop.every(ForgetPeriod, [raw = members.get()] { raw->forgetOld(); });
+        poller->start();
+        loop.every(RemoveExpiredPeriod, [raw = members.get()] { raw->removeExpired(); });
         addGauges(*context.get<metrics::Metrics>(), members, gossip, heartbeat);
         context.get<metrics::Metrics>()->gauge("load_reports", [reports] { return static_cast<double>(reports->size()); });
         context.set(members);
         context.set(gossip);
-        context.set(spread);
+        context.set(membershipGossip);
         context.set(heartbeat);
         context.set(reports);
-        context.set(watcher);
+        context.set(poller);
         if (settings->platform.inMemory) {
             members->applyList(settings->platform.vms);
             return success();
         }
         auto reader = VmListReader::create(loop, client, members, settings->platform.vmListEndpoint);
-        reader->onFirstSeen([spread](const Vm &vm) { spread->spreadListed(vm); });
+        reader->onFirstSeen([membershipGossip](const Vm &vm) { membershipGossip->publishListed(vm); });
         reader->start();
         context.set(reader);
         publishCounters(context, reader);
--- a/src/membership/overlay.h
+++ b/src/membership/overlay.h
@@ -9,7 +9,7 @@
 namespace cardamomlift::membership {
 
 /// The most neighbours one entry VM has; its connections to peers do not grow with the fleet.
-inline constexpr std::size_t MostNeighbours = 8;
+inline constexpr std::size_t MaxNeighbours = 8;
 
 /// The entry VMs @p self exchanges heartbeats and gossip with: its successor and predecessor on each of a few rings,
 /// where a ring is all entry VMs sorted by a hash of their instance. Mutual when both sides know the same VMs; a VM that
--- a/src/membership/reachability.h
+++ b/src/membership/reachability.h
@@ -17,14 +17,14 @@
     std::size_t heardInRegion = 0;
     std::size_t neighbours = 0; ///< VMs this VM exchanges heartbeats with.
     std::size_t neighboursHeard = 0; ///< Of these, with a sign of life in the last seconds and no missed round since.
-    Duration sinceAnyHeard{0}; ///< Since the last sign of life of any neighbour, or since the start.
+    Duration timeSinceAnyHeard{0}; ///< Since the last sign of life of any neighbour, or since the start.
 };
 
 /// True if this VM hears no neighbour at all, though the list has some: it is alone, or all others are gone.
-bool isAlone(const Reachability &reachability);
+bool isIsolated(const Reachability &reachability);
 
 /// True if this VM is cut off from most of the others: it hears fewer than half of its neighbours. A VM without
 /// listed peers is not cut off.
-bool isCutOff(const Reachability &reachability);
+bool isPartitioned(const Reachability &reachability);
 
 } // namespace cardamomlift::membership
--- a/src/membership/rumourboard.h
+++ b/src/membership/rumourstore.h
@@ -30,22 +30,22 @@
 
 /// Bounds of a board, against a peer that offers too much.
 struct RumourLimits {
-    std::size_t mostRumours = 20000;
-    std::size_t longestPayload = 64 * 1024; ///< Bytes.
+    std::size_t maxRumours = 20000;
+    std::size_t maxPayloadBytes = 64 * 1024; ///< Bytes.
 };
 
 /// What became of an offered rumour.
 enum class OfferOutcome {
-    News, ///< Higher than what was held.
+    Accepted, ///< Higher than what was held.
     Known, ///< This version, or a higher one, is held already.
-    Refused, ///< Expired, too long, or the board is full.
+    Rejected, ///< Expired, too long, or the board is full.
 };
 
 /// The rumours one VM holds. The result does not depend on the order of the offers.
-class RumourBoard
+class RumourStore
 {
 public:
-    explicit RumourBoard(RumourLimits limits = {});
+    explicit RumourStore(RumourLimits limits = {});
 
     OfferOutcome offer(const Rumour &rumour, WallTime now);
     /// The held rumour, or null.
@@ -60,9 +60,9 @@
     std::size_t size() const;
 
 private:
-    using Place = std::pair<std::string, std::string>;
+    using StoreKey = std::pair<std::string, std::string>;
     RumourLimits limits_;
-    std::map<Place, Rumour> rumours_;
+    std::map<StoreKey, Rumour> rumours_;
     std::map<std::uint64_t, const Rumour *> byId_;
 };
 
--- a/src/membership/subset.h
+++ b/src/membership/subset.h
@@ -12,7 +12,7 @@
 inline constexpr std::size_t SubsetSize = 16;
 
 /// Entry VMs that use each backend server, so that an entry VM has about @p size of them; at least 3, at most all.
-std::size_t usersPerServer(std::size_t servers, std::size_t entries, std::size_t size);
+std::size_t entriesPerServer(std::size_t servers, std::size_t entries, std::size_t size);
 
 /// The backend servers that entry VM @p self uses, of those in @p servers, sorted.
 ///
--- a/src/membership/tests/controlcost_test.cpp
+++ b/src/membership/tests/controlcost_test.cpp
@@ -9,12 +9,12 @@
 
 namespace {
 
-constexpr double SecondsADay = 86400;
-constexpr double FailuresADay = 15;
-constexpr double RestartsADay = 490;
-constexpr double EditsADay = 1400;
+constexpr double SecondsPerDay = 86400;
+constexpr double FailuresPerDay = 15;
+constexpr double RestartsPerDay = 490;
+constexpr double EditsPerDay = 1400;
 constexpr std::size_t EditBytes = 3000;
-constexpr double BudgetBytesASecond = 14000;
+constexpr double BudgetBytesPerSecond = 14000;
 constexpr int IdleSeconds = 60;
 
 /// Per node: calls and payload bytes, sent and received.
@@ -25,9 +25,9 @@
 
 Cost costOf(MemberFleet &fleet, const std::function<void()> &action)
 {
-    const peers::PeerCounters before = fleet.sum();
+    const peers::PeerCounters before = fleet.totalCounters();
     action();
-    const peers::PeerCounters after = fleet.sum();
+    const peers::PeerCounters after = fleet.totalCounters();
     const auto nodes = static_cast<double>(fleet.nodes.size());
     const auto calls = static_cast<double>(after.callsSent + after.callsReceived - before.callsSent - before.callsReceived);
     const auto bytes = static_cast<double>(after.bytesSent + after.bytesReceived - before.bytesSent - before.bytesReceived);
@@ -35,18 +35,18 @@
 }
 
 struct DayCost {
-    Cost idleASecond;
+    Cost idlePerSecond;
     Cost restart;
     Cost failure;
     Cost edit;
-    double bytesASecond = 0;
+    double bytesPerSecond = 0;
 };
 
 /// A restart is one mark and one new VM; the clock stands still, so that no heartbeat is counted.
 void restart(MemberFleet &fleet, int number)
 {
     fleet.nodes[1]->members->markLeaving(fmt::format("old-{}", number));
-    fleet.nodes[2]->spread->spreadListed(engineVm(fmt::format("new-{}", number)));
+    fleet.nodes[2]->membershipGossip->publishListed(engineVm(fmt::format("new-{}", number)));
     fleet.settle();
 }
 
@@ -54,31 +54,31 @@
 {
     constexpr int Repeats = 10;
     MemberFleet fleet(count);
-    fleet.pass(std::chrono::seconds(10));
+    fleet.advance(std::chrono::seconds(10));
     DayCost cost;
-    cost.idleASecond = costOf(fleet, [&] { fleet.pass(std::chrono::seconds(IdleSeconds)); });
-    cost.idleASecond.calls /= IdleSeconds;
-    cost.idleASecond.bytes /= IdleSeconds;
+    cost.idlePerSecond = costOf(fleet, [&] { fleet.advance(std::chrono::seconds(IdleSeconds)); });
+    cost.idlePerSecond.calls /= IdleSeconds;
+    cost.idlePerSecond.bytes /= IdleSeconds;
     const auto repeated = [&](const std::function<void(int)> &action) {
-        Cost sum = costOf(fleet, [&] {
+        Cost totalCounters = costOf(fleet, [&] {
             for (int i = 0; i < Repeats; i++) {
                 action(i);
                 fleet.settle();
             }
         });
-        return Cost{sum.calls / Repeats, sum.bytes / Repeats};
+        return Cost{totalCounters.calls / Repeats, totalCounters.bytes / Repeats};
     };
     cost.restart = repeated([&](int i) { restart(fleet, i); });
     cost.edit = repeated([&](int i) { fleet.nodes[3]->gossip->publish("contract", "shop", i + 1U, std::string(EditBytes, 'x'), std::chrono::hours(2)); });
     // A failed entry VM: all heartbeats and statements of half a minute, without the idle ones.
     cost.failure = costOf(fleet, [&] {
         fleet.cut([](const Vm &vm) { return vm.instance == "entry-0"; });
-        fleet.pass(std::chrono::seconds(30));
+        fleet.advance(std::chrono::seconds(30));
     });
-    cost.failure.calls -= 30 * cost.idleASecond.calls;
-    cost.failure.bytes -= 30 * cost.idleASecond.bytes;
-    cost.bytesASecond =
-        cost.idleASecond.bytes + (RestartsADay * cost.restart.bytes + EditsADay * cost.edit.bytes + FailuresADay * cost.failure.bytes) / SecondsADay;
+    cost.failure.calls -= 30 * cost.idlePerSecond.calls;
+    cost.failure.bytes -= 30 * cost.idlePerSecond.bytes;
+    cost.bytesPerSecond =
+        cost.idlePerSecond.bytes + (RestartsPerDay * cost.restart.bytes + EditsPerDay * cost.edit.bytes + FailuresPerDay * cost.failure.bytes) / SecondsPerDay;
     return cost;
 }
 
@@ -91,19 +91,19 @@
         const DayCost cost = measure(count);
         fmt::print("{} | {:.1f} | {:.0f} | {:.1f}, {:.0f} | {:.1f}, {:.0f} | {:.1f}, {:.0f} | {:.0f}\n",
             count,
-            cost.idleASecond.calls,
-            cost.idleASecond.bytes,
+            cost.idlePerSecond.calls,
+            cost.idlePerSecond.bytes,
             cost.restart.calls,
             cost.restart.bytes,
             cost.failure.calls,
             cost.failure.bytes,
             cost.edit.calls,
             cost.edit.bytes,
-            cost.bytesASecond);
-        EXPECT_LE(cost.idleASecond.calls, 5.0);
-        EXPECT_LE(cost.idleASecond.bytes, 100.0);
-        EXPECT_LE(cost.restart.calls, 4.0 * MostNeighbours);
-        EXPECT_LE(cost.edit.bytes, 2.0 * MostNeighbours * (EditBytes + 100.0));
-        EXPECT_LE(cost.bytesASecond, BudgetBytesASecond / 10);
+            cost.bytesPerSecond);
+        EXPECT_LE(cost.idlePerSecond.calls, 5.0);
+        EXPECT_LE(cost.idlePerSecond.bytes, 100.0);
+        EXPECT_LE(cost.restart.calls, 4.0 * MaxNeighbours);
+        EXPECT_LE(cost.edit.bytes, 2.0 * MaxNeighbours * (EditBytes + 100.0));
+        EXPECT_LE(cost.bytesPerSecond, BudgetBytesPerSecond / 10);
     }
 }
--- a/src/membership/tests/gossip_test.cpp
+++ b/src/membership/tests/gossip_test.cpp
@@ -14,7 +14,7 @@
 namespace {
 
 constexpr int FailureDomains = 11;
-constexpr Duration Long = std::chrono::hours(24);
+constexpr Duration LongTtl = std::chrono::hours(24);
 
 std::vector<Vm> entryVms(int count)
 {
@@ -59,7 +59,7 @@
         }
     }
 
-    void pass(Duration time)
+    void advance(Duration time)
     {
         for (Duration passed{0}; passed < time; passed += std::chrono::seconds(1)) {
             clock.advance(std::chrono::seconds(1));
@@ -67,7 +67,7 @@
         }
     }
 
-    std::size_t knowing(const std::string &topic, const std::string &key) const
+    std::size_t countHolding(const std::string &topic, const std::string &key) const
     {
         return static_cast<std::size_t>(std::count_if(nodes.begin(), nodes.end(), [&](const auto &node) { return node->find(topic, key) != nullptr; }));
     }
@@ -90,19 +90,19 @@
 };
 
 /// Hops from the first VM to the farthest one; -1 if some are not reached.
-int farthest(const std::vector<Vm> &vms)
+int maxHops(const std::vector<Vm> &vms)
 {
     std::map<std::string, int> hops{{vms.front().instance, 0}};
-    std::queue<std::string> open;
-    open.push(vms.front().instance);
+    std::queue<std::string> queue;
+    queue.push(vms.front().instance);
     int most = 0;
-    while (!open.empty()) {
-        const std::string instance = open.front();
-        open.pop();
+    while (!queue.empty()) {
+        const std::string instance = queue.front();
+        queue.pop();
         for (const std::string &next : chooseNeighbours(vms, instance)) {
             if (hops.emplace(next, hops[instance] + 1).second) {
                 most = std::max(most, hops[next]);
-                open.push(next);
+                queue.push(next);
             }
         }
     }
@@ -111,7 +111,7 @@
 
 } // namespace
 
-TEST(Overlay, DegreeStaysWhileTheFleetGrows)
+TEST(Overlay, DegreeIsBoundedAsTheFleetGrows)
 {
     for (const int count : {2, 9, 64, 380}) {
         const auto vms = entryVms(count);
@@ -124,33 +124,33 @@
                 EXPECT_NE(std::find(back.begin(), back.end(), vm.instance), back.end()) << "not mutual";
             }
         }
-        EXPECT_LE(most, MostNeighbours);
-        EXPECT_GE(farthest(vms), 1);
-        EXPECT_LE(farthest(vms), 5);
-        fmt::print("{} entry VMs: at most {} neighbours, farthest {} hops\n", count, most, farthest(vms));
+        EXPECT_LE(most, MaxNeighbours);
+        EXPECT_GE(maxHops(vms), 1);
+        EXPECT_LE(maxHops(vms), 5);
+        fmt::print("{} entry VMs: at most {} neighbours, farthest {} hops\n", count, most, maxHops(vms));
     }
 }
 
-TEST(Overlay, HalfOfTheNeighboursAreInOtherZonesAndAZoneMayGo)
+TEST(Overlay, HalfOfTheNeighboursAreInOtherZonesAndLosingAZoneLeavesItConnected)
 {
     const auto vms = entryVms(380);
-    std::vector<Vm> left;
+    std::vector<Vm> remaining;
     for (const Vm &vm : vms) {
-        std::size_t elsewhere = 0;
+        std::size_t inOtherZones = 0;
         const auto neighbours = chooseNeighbours(vms, vm.instance);
         for (const std::string &other : neighbours) {
             const auto found = std::find_if(vms.begin(), vms.end(), [&](const Vm &entry) { return entry.instance == other; });
-            elsewhere += found->zone != vm.zone ? 1 : 0;
+            inOtherZones += found->zone != vm.zone ? 1 : 0;
         }
-        EXPECT_GE(elsewhere * 2, neighbours.size());
+        EXPECT_GE(inOtherZones * 2, neighbours.size());
         if (vm.zone != "zone-3") {
-            left.push_back(vm);
+            remaining.push_back(vm);
         }
     }
-    EXPECT_GE(farthest(left), 1);
+    EXPECT_GE(maxHops(remaining), 1);
 }
 
-TEST(Overlay, OneVmGoneChangesFewNeighbours)
+TEST(Overlay, RemovingOneVmChangesFewNeighbours)
 {
     const auto vms = entryVms(380);
     const std::vector<Vm> rest(vms.begin() + 1, vms.end());
@@ -158,36 +158,36 @@
     for (const Vm &vm : rest) {
         changed += chooseNeighbours(vms, vm.instance) != chooseNeighbours(rest, vm.instance) ? 1 : 0;
     }
-    EXPECT_LE(changed, MostNeighbours);
+    EXPECT_LE(changed, MaxNeighbours);
 }
 
-TEST(Gossip, ReachesEveryVmWithAtMostOnePushALink)
+TEST(Gossip, ReachesEveryVmWithAtMostOnePushPerLink)
 {
     for (const int count : {9, 64, 380}) {
         GossipFleet fleet(count);
-        EXPECT_TRUE(fleet.nodes[0]->publish("leaving", "engine-1", 1, "", Long));
+        EXPECT_TRUE(fleet.nodes[0]->publish("leaving", "engine-1", 1, "", LongTtl));
         fleet.settle();
-        EXPECT_EQ(fleet.knowing("leaving", "engine-1"), static_cast<std::size_t>(count));
-        EXPECT_LE(fleet.pushes(), MostNeighbours * static_cast<std::size_t>(count));
+        EXPECT_EQ(fleet.countHolding("leaving", "engine-1"), static_cast<std::size_t>(count));
+        EXPECT_LE(fleet.pushes(), MaxNeighbours * static_cast<std::size_t>(count));
         fmt::print("{} entry VMs: {} pushes for one rumour\n", count, fleet.pushes());
     }
 }
 
-TEST(Gossip, HandlersHearEachVersionOnceAndTheHeldOnesAtFirst)
+TEST(Gossip, HandlersReceiveHeldRumoursFirstAndEachVersionOnce)
 {
     GossipFleet fleet(9);
     std::vector<std::uint64_t> heard;
-    fleet.nodes[0]->publish("contract", "shop", 1, "one", Long);
+    fleet.nodes[0]->publish("contract", "shop", 1, "one", LongTtl);
     fleet.settle();
     fleet.nodes[5]->onRumour("contract", [&](const Rumour &rumour) { heard.push_back(rumour.version); });
-    fleet.nodes[8]->publish("contract", "shop", 2, "two", Long);
-    EXPECT_FALSE(fleet.nodes[8]->publish("contract", "shop", 1, "one", Long));
+    fleet.nodes[8]->publish("contract", "shop", 2, "two", LongTtl);
+    EXPECT_FALSE(fleet.nodes[8]->publish("contract", "shop", 1, "one", LongTtl));
     fleet.settle();
     EXPECT_EQ(heard, (std::vector<std::uint64_t>{1, 2}));
     EXPECT_EQ(fleet.nodes[3]->find("contract", "shop")->payload, "two");
 }
 
-TEST(Gossip, ComparingRepairsLostPushesAfterTheCutHeals)
+TEST(Gossip, ComparisonRepairsLostPushesAfterAPartition)
 {
     GossipFleet fleet(64);
     for (const Vm &from : fleet.vms) {
@@ -197,39 +197,39 @@
             }
         }
     }
-    fleet.nodes[0]->publish("leaving", "engine-1", 1, "", Long);
-    fleet.pass(std::chrono::minutes(1));
-    const std::size_t inside = fleet.knowing("leaving", "engine-1");
+    fleet.nodes[0]->publish("leaving", "engine-1", 1, "", LongTtl);
+    fleet.advance(std::chrono::minutes(1));
+    const std::size_t inside = fleet.countHolding("leaving", "engine-1");
     EXPECT_LT(inside, fleet.vms.size());
     fleet.network->cuts.clear();
-    fleet.pass(std::chrono::minutes(1));
-    EXPECT_EQ(fleet.knowing("leaving", "engine-1"), fleet.vms.size());
+    fleet.advance(std::chrono::minutes(1));
+    EXPECT_EQ(fleet.countHolding("leaving", "engine-1"), fleet.vms.size());
 }
 
-TEST(Gossip, IdleCostIsTheSameAtEverySize)
+TEST(Gossip, IdleCostDoesNotDependOnFleetSize)
 {
     constexpr int Seconds = 60;
     for (const int count : {9, 64, 380}) {
         GossipFleet fleet(count);
         const peers::PeerCounters before = fleet.transports[0]->counters();
-        fleet.pass(std::chrono::seconds(Seconds));
+        fleet.advance(std::chrono::seconds(Seconds));
         const peers::PeerCounters &after = fleet.transports[0]->counters();
         EXPECT_LE(after.callsSent - before.callsSent, 13U);
         EXPECT_LE(after.bytesSent - before.bytesSent, 13U * 60U);
     }
 }
 
-TEST(Gossip, RumoursAreForgottenAndBounded)
+TEST(Gossip, RumoursExpireAndTheStoreIsBounded)
 {
     GossipFleet fleet(2);
     fleet.nodes[0]->publish("t", "k", 1, "", std::chrono::minutes(5));
-    fleet.pass(std::chrono::minutes(6));
-    EXPECT_EQ(fleet.knowing("t", "k"), 0U);
-    RumourBoard board({2, 10});
+    fleet.advance(std::chrono::minutes(6));
+    EXPECT_EQ(fleet.countHolding("t", "k"), 0U);
+    RumourStore store({2, 10});
     const WallTime now = fleet.clock.wallNow();
-    EXPECT_EQ(board.offer({"t", "a", 1, "", now + Long}, now), OfferOutcome::News);
-    EXPECT_EQ(board.offer({"t", "b", 1, "", now + Long}, now), OfferOutcome::News);
-    EXPECT_EQ(board.offer({"t", "c", 1, "", now + Long}, now), OfferOutcome::Refused);
-    EXPECT_EQ(board.offer({"t", "a", 2, "more than ten bytes", now + Long}, now), OfferOutcome::Refused);
-    EXPECT_EQ(board.offer({"t", "a", 2, "", now + Long}, now), OfferOutcome::News);
+    EXPECT_EQ(store.offer({"t", "a", 1, "", now + LongTtl}, now), OfferOutcome::Accepted);
+    EXPECT_EQ(store.offer({"t", "b", 1, "", now + LongTtl}, now), OfferOutcome::Accepted);
+    EXPECT_EQ(store.offer({"t", "c", 1, "", now + LongTtl}, now), OfferOutcome::Rejected);
+    EXPECT_EQ(store.offer({"t", "a", 2, "more than ten bytes", now + LongTtl}, now), OfferOutcome::Rejected);
+    EXPECT_EQ(store.offer({"t", "a", 2, "", now + LongTtl}, now), OfferOutcome::Accepted);
 }
--- a/src/membership/tests/heartbeat_test.cpp
+++ b/src/membership/tests/heartbeat_test.cpp
@@ -8,10 +8,10 @@
 namespace {
 
 constexpr std::size_t Nodes = 12;
-constexpr Duration LongEnough = std::chrono::seconds(30);
+constexpr Duration SettleTime = std::chrono::seconds(30);
 
 /// VMs of which anything was ever said; a refuted suspicion counts too.
-std::size_t statements(const MemberFleet::Node &node)
+std::size_t healthRumours(const MemberFleet::Node &node)
 {
     std::size_t count = 0;
     node.gossip->forEach("health", [&](const Rumour &) { count++; });
@@ -20,126 +20,126 @@
 
 } // namespace
 
-TEST(Heartbeat, ASilentVmFailsEverywhereAndRefutesWhenItWakes)
+TEST(Heartbeat, ASilentVmFailsEverywhereAndRefutesWhenItReturns)
 {
     MemberFleet fleet(Nodes);
-    fleet.pass(LongEnough);
-    EXPECT_EQ(fleet.holding("entry-3", Health::Alive), Nodes - 1);
+    fleet.advance(SettleTime);
+    EXPECT_EQ(fleet.countWithHealth("entry-3", Health::Alive), Nodes - 1);
     fleet.cut([](const Vm &vm) { return vm.instance == "entry-3"; });
-    fleet.pass(LongEnough);
-    EXPECT_EQ(fleet.holding("entry-3", Health::Failed), Nodes - 1);
-    EXPECT_TRUE(isAlone(fleet.nodes[3]->heartbeat->reachability()));
+    fleet.advance(SettleTime);
+    EXPECT_EQ(fleet.countWithHealth("entry-3", Health::Failed), Nodes - 1);
+    EXPECT_TRUE(isIsolated(fleet.nodes[3]->heartbeat->reachability()));
     EXPECT_EQ(fleet.nodes[3]->heartbeat->reachability().heard, 0U);
-    EXPECT_FALSE(isCutOff(fleet.nodes[5]->heartbeat->reachability()));
-    EXPECT_EQ(statements(*fleet.nodes[3]), 0U) << "the cut-off VM judged others";
+    EXPECT_FALSE(isPartitioned(fleet.nodes[5]->heartbeat->reachability()));
+    EXPECT_EQ(healthRumours(*fleet.nodes[3]), 0U) << "the cut-off VM judged others";
     fleet.heal();
-    fleet.pass(LongEnough);
-    EXPECT_EQ(fleet.holding("entry-3", Health::Alive), Nodes - 1);
-    EXPECT_FALSE(isCutOff(fleet.nodes[3]->heartbeat->reachability()));
+    fleet.advance(SettleTime);
+    EXPECT_EQ(fleet.countWithHealth("entry-3", Health::Alive), Nodes - 1);
+    EXPECT_FALSE(isPartitioned(fleet.nodes[3]->heartbeat->reachability()));
 }
 
-TEST(Heartbeat, AOneWayCutOfALinkIsNoFailure)
+TEST(Heartbeat, AOneWayLinkLossIsNotAFailure)
 {
     for (const bool isReply : {false, true}) {
         MemberFleet fleet(Nodes);
-        fleet.pass(LongEnough);
+        fleet.advance(SettleTime);
         const std::string neighbour = fleet.nodes[0]->gossip->neighbours()[0].instance;
         const std::pair<std::string, std::string> link = isReply ? std::pair(neighbour, fleet.list[0].instance) : std::pair(fleet.list[0].instance, neighbour);
         fleet.network->cuts.insert(link);
-        fleet.pass(std::chrono::minutes(1));
-        EXPECT_EQ(statements(*fleet.nodes[5]), 0U);
+        fleet.advance(std::chrono::minutes(1));
+        EXPECT_EQ(healthRumours(*fleet.nodes[5]), 0U);
     }
 }
 
-TEST(Heartbeat, AnOutageOfThreeSecondsIsNoFailure)
+TEST(Heartbeat, RepeatedOutagesOfThreeSecondsAreNotAFailure)
 {
     // Time after time: shorter than the silence that counts.
     MemberFleet fleet(Nodes);
-    fleet.pass(LongEnough);
+    fleet.advance(SettleTime);
     for (int i = 0; i < 10; i++) {
         fleet.cut([](const Vm &vm) { return vm.instance == "entry-3"; });
-        fleet.pass(std::chrono::seconds(3));
+        fleet.advance(std::chrono::seconds(3));
         fleet.heal();
-        fleet.pass(std::chrono::seconds(3));
+        fleet.advance(std::chrono::seconds(3));
     }
-    EXPECT_EQ(statements(*fleet.nodes[5]), 0U);
+    EXPECT_EQ(healthRumours(*fleet.nodes[5]), 0U);
 }
 
-TEST(Heartbeat, AVmListedBeforeItsDaemonIsUpIsSuspectedAfterTheSilenceOnly)
+TEST(Heartbeat, AVmListedBeforeItsDaemonIsUpIsSuspectedOnlyAfterTheSilenceLimit)
 {
     MemberFleet fleet(Nodes);
-    Vm early = fleet.list.front();
-    early.instance = "entry-early";
-    fleet.readList({early});
-    fleet.pass(std::chrono::seconds(4));
-    EXPECT_EQ(fleet.holding("entry-early", Health::Alive), Nodes);
-    fleet.pass(LongEnough);
-    EXPECT_EQ(fleet.holding("entry-early", Health::Failed), Nodes);
+    Vm listedEarly = fleet.list.front();
+    listedEarly.instance = "entry-early";
+    fleet.readList({listedEarly});
+    fleet.advance(std::chrono::seconds(4));
+    EXPECT_EQ(fleet.countWithHealth("entry-early", Health::Alive), Nodes);
+    fleet.advance(SettleTime);
+    EXPECT_EQ(fleet.countWithHealth("entry-early", Health::Failed), Nodes);
 }
 
-TEST(Heartbeat, AVmThatIsNotListedYetIsAddedForAWhile)
+TEST(Heartbeat, AnUnlistedVmIsAddedProvisionally)
 {
     MemberFleet fleet(Nodes);
     fleet.addUnlisted("entry-new");
-    fleet.pass(std::chrono::seconds(10));
+    fleet.advance(std::chrono::seconds(10));
     EXPECT_GE(fleet.count([](const MemberFleet::Node &node) { return node.members->find("entry-new") != nullptr; }), 1U);
     fleet.cut([](const Vm &vm) { return vm.instance == "entry-new"; });
-    fleet.pass(std::chrono::minutes(5));
+    fleet.advance(std::chrono::minutes(5));
     fleet.clock.advance(std::chrono::minutes(1));
     for (const auto &node : fleet.nodes) {
-        node->members->forgetOld();
+        node->members->removeExpired();
     }
     EXPECT_EQ(fleet.count([](const MemberFleet::Node &node) { return node.members->find("entry-new") != nullptr; }), 0U);
 }
 
-TEST(Heartbeat, AZoneGoneIsNoticedByAllOthersAndByNoneElse)
+TEST(Heartbeat, ALostZoneFailsForAllOthersAndNoOtherVmDoes)
 {
     MemberFleet fleet(64);
-    fleet.pass(LongEnough);
-    const auto isGone = [](const Vm &vm) {
+    fleet.advance(SettleTime);
+    const auto isLost = [](const Vm &vm) {
         return vm.zone == "zone-2";
     };
     for (const auto &node : fleet.nodes) {
-        if (isGone(node->vm)) {
+        if (isLost(node->vm)) {
             fleet.network->members.erase(node->vm.instance);
         }
     }
-    fleet.cut(isGone);
-    fleet.pass(LongEnough);
+    fleet.cut(isLost);
+    fleet.advance(SettleTime);
     for (const auto &node : fleet.nodes) {
-        if (isGone(node->vm)) {
+        if (isLost(node->vm)) {
             continue;
         }
         for (const Vm &vm : fleet.list) {
-            EXPECT_EQ(node->members->healthOf(vm.instance), isGone(vm) ? Health::Failed : Health::Alive) << node->vm.instance << " of " << vm.instance;
+            EXPECT_EQ(node->members->healthOf(vm.instance), isLost(vm) ? Health::Failed : Health::Alive) << node->vm.instance << " of " << vm.instance;
         }
         const Reachability reachability = node->heartbeat->reachability();
-        EXPECT_FALSE(isCutOff(reachability));
+        EXPECT_FALSE(isPartitioned(reachability));
         EXPECT_EQ(reachability.heard, 64U - 6U - 1U);
     }
 }
 
-TEST(Heartbeat, RegionsApartForAnHourComeTogetherAgain)
+TEST(Heartbeat, RegionsConvergeAfterAnHourOfPartition)
 {
     MemberFleet fleet(22);
     fleet.readList({engineVm("engine-1"), engineVm("engine-2")});
     fleet.cut([](const Vm &vm) { return vm.region == "region-0"; });
     fleet.nodes[0]->members->markLeaving("engine-1"); // Inside region-0.
     fleet.nodes[1]->members->markLeaving("engine-2"); // Outside.
-    fleet.pass(std::chrono::hours(1));
+    fleet.advance(std::chrono::hours(1));
     const auto knowsBoth = [](const MemberFleet::Node &node) {
         return node.members->isLeaving("engine-1") && node.members->isLeaving("engine-2");
     };
     EXPECT_EQ(fleet.count(knowsBoth), 0U);
     fleet.heal();
-    fleet.pass(std::chrono::minutes(1));
+    fleet.advance(std::chrono::minutes(1));
     EXPECT_EQ(fleet.count(knowsBoth), 22U);
     for (const Vm &vm : fleet.list) {
-        EXPECT_EQ(fleet.holding(vm.instance, Health::Alive), 21U) << vm.instance;
+        EXPECT_EQ(fleet.countWithHealth(vm.instance, Health::Alive), 21U) << vm.instance;
     }
 }
 
-TEST(Heartbeat, EveryVmRestartedAtOnceLearnsFromTheListAlone)
+TEST(Heartbeat, VmsRestartedAllAtOnceLearnMarksFromTheList)
 {
     MemberFleet fleet(12);
     Vm leaving = engineVm("engine-1");
@@ -155,19 +155,19 @@
     EXPECT_EQ(fleet.count([](const MemberFleet::Node &node) { return node.members->backends(VmRole::Model, "proofreader").empty(); }), 12U);
 }
 
-TEST(Heartbeat, RefusalsSeenByTwoVmsLeaveAServerOutEverywhere)
+TEST(Heartbeat, RefusalsSeenByTwoVmsExcludeAServerEverywhere)
 {
     MemberFleet fleet(12);
     fleet.readList({engineVm("engine-1"), engineVm("engine-2")});
-    const auto leavesOut = [](const MemberFleet::Node &node) {
+    const auto excludes = [](const MemberFleet::Node &node) {
         return node.members->isUnreachable("engine-1");
     };
     fleet.nodes[0]->members->reportUnreachable("engine-1");
     fleet.settle();
-    EXPECT_EQ(fleet.count(leavesOut), 0U);
+    EXPECT_EQ(fleet.count(excludes), 0U);
     fleet.nodes[7]->members->reportUnreachable("engine-1");
     fleet.settle();
-    EXPECT_EQ(fleet.count(leavesOut), 12U);
-    fleet.pass(std::chrono::seconds(11));
-    EXPECT_EQ(fleet.count(leavesOut), 0U);
+    EXPECT_EQ(fleet.count(excludes), 12U);
+    fleet.advance(std::chrono::seconds(11));
+    EXPECT_EQ(fleet.count(excludes), 0U);
 }
--- a/src/membership/tests/memberfleet.cpp
+++ b/src/membership/tests/memberfleet.cpp
@@ -11,7 +11,7 @@
 constexpr int FailureDomains = 11;
 constexpr int Regions = 4;
 constexpr Duration Step = std::chrono::milliseconds(500);
-constexpr int TurnsToSettle = 30;
+constexpr int SettleIterations = 30;
 
 } // namespace
 
@@ -58,7 +58,7 @@
     node->transport = peers::LocalTransport::create(*loop, network, vm.instance);
     node->members = Members::create(vm.instance, &clock);
     node->gossip = Gossip::create(*loop, node->transport);
-    node->spread = MemberSpread::create(*loop, node->members, node->gossip);
+    node->membershipGossip = MembershipGossip::create(*loop, node->members, node->gossip);
     node->heartbeat = Heartbeat::create(*loop, node->transport, node->members, node->gossip, vm);
     node->gossip->start();
     node->heartbeat->start();
@@ -88,12 +88,12 @@
 
 void MemberFleet::settle()
 {
-    for (int i = 0; i < TurnsToSettle; i++) {
+    for (int i = 0; i < SettleIterations; i++) {
         loop->runDue();
     }
 }
 
-void MemberFleet::pass(Duration time)
+void MemberFleet::advance(Duration time)
 {
     for (Duration passed{0}; passed < time; passed += Step) {
         clock.advance(Step);
@@ -122,22 +122,22 @@
     return static_cast<std::size_t>(std::count_if(nodes.begin(), nodes.end(), [&](const auto &node) { return condition(*node); }));
 }
 
-std::size_t MemberFleet::holding(const std::string &instance, Health health) const
+std::size_t MemberFleet::countWithHealth(const std::string &instance, Health health) const
 {
     return count([&](const Node &node) { return node.vm.instance != instance && node.members->healthOf(instance) == health; });
 }
 
-peers::PeerCounters MemberFleet::sum() const
+peers::PeerCounters MemberFleet::totalCounters() const
 {
-    peers::PeerCounters sum;
+    peers::PeerCounters totalCounters;
     for (const auto &node : nodes) {
-        const peers::PeerCounters &one = node->transport->counters();
-        sum.callsSent += one.callsSent;
-        sum.callsReceived += one.callsReceived;
-        sum.bytesSent += one.bytesSent;
-        sum.bytesReceived += one.bytesReceived;
+        const peers::PeerCounters &counters = node->transport->counters();
+        totalCounters.callsSent += counters.callsSent;
+        totalCounters.callsReceived += counters.callsReceived;
+        totalCounters.bytesSent += counters.bytesSent;
+        totalCounters.bytesReceived += counters.bytesReceived;
     }
-    return sum;
+    return totalCounters;
 }
 
 } // namespace cardamomlift::membership
--- a/src/membership/tests/memberfleet.h
+++ b/src/membership/tests/memberfleet.h
@@ -3,7 +3,7 @@
 #include "membership/gossip.h"
 #include "membership/heartbeat.h"
 #include "membership/members.h"
-#include "membership/spread.h"
+#include "membership/membershipgossip.h"
 #include "peers/localtransport.h"
 
 #include <functional>
@@ -27,7 +27,7 @@
         std::shared_ptr<peers::LocalTransport> transport;
         std::shared_ptr<Members> members;
         std::shared_ptr<Gossip> gossip;
-        std::shared_ptr<MemberSpread> spread;
+        std::shared_ptr<MembershipGossip> membershipGossip;
         std::shared_ptr<Heartbeat> heartbeat;
     };
 
@@ -39,14 +39,14 @@
     /// Delivers all messages under way, without advancing the clock.
     void settle();
     /// Advances the clock in steps of half a second.
-    void pass(Duration time);
+    void advance(Duration time);
     /// Loses all messages in both directions between VMs for which @p isInside differs.
     void cut(const std::function<bool(const Vm &vm)> &isInside);
     void heal();
     std::size_t count(const std::function<bool(const Node &node)> &condition) const;
     /// VMs that hold @p health of @p instance, without that VM itself.
-    std::size_t holding(const std::string &instance, Health health) const;
-    peers::PeerCounters sum() const;
+    std::size_t countWithHealth(const std::string &instance, Health health) const;
+    peers::PeerCounters totalCounters() const;
 
     ManualClock clock;
     std::unique_ptr<EventLoop> loop;
--- a/src/membership/tests/members_test.cpp
+++ b/src/membership/tests/members_test.cpp
@@ -18,9 +18,9 @@
 constexpr char Model[] = "proofreader";
 
 /// What can happen to one backend server's entry on one VM.
-enum class Step { ListLive, ListLeaving, ListWithout, MarkHere, MarkTaken, ListedByRumour, ForgetOld, Count };
+enum class Step { ListLive, ListLeaving, ListWithout, LocalMark, RemoteMark, Provisional, RemoveExpired, Count };
 
-void take(Step step, Members &members, ManualClock &clock)
+void apply(Step step, Members &members, ManualClock &clock)
 {
     Vm vm = engineVm("engine-1");
     switch (step) {
@@ -34,27 +34,27 @@
     case Step::ListWithout:
         members.applyList({});
         return;
-    case Step::MarkHere:
+    case Step::LocalMark:
         members.markLeaving(vm.instance);
         return;
-    case Step::MarkTaken:
-        members.takeMark(vm.instance, {});
+    case Step::RemoteMark:
+        members.applyRemoteMark(vm.instance, {});
         return;
-    case Step::ListedByRumour:
+    case Step::Provisional:
         members.addProvisional(vm);
         return;
-    case Step::ForgetOld:
+    case Step::RemoveExpired:
         clock.advance(std::chrono::hours(2));
-        members.forgetOld();
+        members.removeExpired();
         return;
     case Step::Count:
         return;
     }
 }
 
-bool marks(Step step)
+bool marksLeaving(Step step)
 {
-    return step == Step::ListLeaving || step == Step::MarkHere || step == Step::MarkTaken;
+    return step == Step::ListLeaving || step == Step::LocalMark || step == Step::RemoteMark;
 }
 
 } // namespace
@@ -63,22 +63,22 @@
 {
     constexpr int Length = 6;
     constexpr int Steps = static_cast<int>(Step::Count);
-    const int walks = static_cast<int>(std::pow(Steps, Length));
-    for (int walk = 0; walk < walks; walk++) {
+    const int sequences = static_cast<int>(std::pow(Steps, Length));
+    for (int sequence = 0; sequence < sequences; sequence++) {
         ManualClock clock;
         const auto members = Members::create("entry-1", &clock);
         bool wasMarked = false;
-        for (int i = 0, rest = walk; i < Length; i++, rest /= Steps) {
-            const auto step = static_cast<Step>(rest % Steps);
-            take(step, *members, clock);
-            wasMarked = wasMarked || marks(step);
-            ASSERT_EQ(members->isLeaving("engine-1"), wasMarked) << "walk " << walk << " step " << i;
-            ASSERT_TRUE(!wasMarked || members->backends(VmRole::Model, Model).empty()) << "walk " << walk << " step " << i;
+        for (int i = 0, remaining = sequence; i < Length; i++, remaining /= Steps) {
+            const auto step = static_cast<Step>(remaining % Steps);
+            apply(step, *members, clock);
+            wasMarked = wasMarked || marksLeaving(step);
+            ASSERT_EQ(members->isLeaving("engine-1"), wasMarked) << "walk " << sequence << " step " << i;
+            ASSERT_TRUE(!wasMarked || members->backends(VmRole::Model, Model).empty()) << "walk " << sequence << " step " << i;
         }
     }
 }
 
-TEST(Members, MarksAreDroppedADayAfterTheListForgotTheVm)
+TEST(Members, MarksAreDroppedADayAfterTheVmLeavesTheList)
 {
     ManualClock clock;
     const auto members = Members::create("entry-1", &clock);
@@ -88,12 +88,12 @@
     for (int hour = 0; hour < 48; hour++) {
         clock.advance(std::chrono::hours(1));
         members->applyList(listed);
-        members->forgetOld();
+        members->removeExpired();
     }
     EXPECT_TRUE(members->isLeaving("engine-1"));
     members->applyList({});
     clock.advance(std::chrono::hours(25));
-    members->forgetOld();
+    members->removeExpired();
     EXPECT_EQ(members->markCount(), 0U);
 }
 
@@ -122,7 +122,7 @@
     EXPECT_FALSE(members->isUnreachable("engine-1"));
 }
 
-TEST(RumourBoard, TheOrderOfOffersDoesNotMatter)
+TEST(RumourStore, TheOrderOfOffersDoesNotMatter)
 {
     const WallTime now;
     std::vector<Rumour> rumours;
@@ -134,36 +134,36 @@
     std::iota(order.begin(), order.end(), 0);
     std::set<std::uint64_t> digests;
     do {
-        RumourBoard board;
+        RumourStore store;
         for (const std::size_t i : order) {
-            board.offer(rumours[i], now);
-            board.offer(rumours[i], now);
+            store.offer(rumours[i], now);
+            store.offer(rumours[i], now);
         }
-        digests.insert(board.digest(now));
-        ASSERT_EQ(board.find("health", "entry-1")->payload, "3");
+        digests.insert(store.digest(now));
+        ASSERT_EQ(store.find("health", "entry-1")->payload, "3");
     } while (std::next_permutation(order.begin(), order.end()));
     EXPECT_EQ(digests.size(), 1U);
 }
 
-TEST(Health, NoJudgementLowersAStatementAndACutOffVmJudgesNobody)
+TEST(Health, StatusNeverDecreasesAndAPartitionedVmChangesNone)
 {
-    const ProbeLimits limits;
-    for (unsigned missed = 0; missed <= limits.roundsToSuspect + 1; missed++) {
+    const FailureThresholds thresholds;
+    for (unsigned missed = 0; missed <= thresholds.missedRoundsToSuspect + 1; missed++) {
         for (int bits = 0; bits < 8; bits++) {
             for (std::uint64_t version = 0; version < 6; version++) {
                 ProbeRecord record;
                 record.missedRounds = missed;
-                JudgeFacts facts;
-                facts.silentFor = (bits & 1) != 0 ? limits.silenceToSuspect : Duration(0);
-                facts.heldFor = (bits & 2) != 0 ? limits.suspicionTimeout : Duration(0);
-                facts.selfIsCutOff = (bits & 4) != 0;
-                const HealthStatement held = statementOf(version);
-                const std::uint64_t next = versionOf(judge(record, held, facts, limits));
-                const bool mayJudge = !facts.selfIsCutOff && missed >= limits.roundsToSuspect && (bits & 1) != 0;
+                ProbeEvidence evidence;
+                evidence.silentFor = (bits & 1) != 0 ? thresholds.silenceToSuspect : Duration(0);
+                evidence.statusAge = (bits & 2) != 0 ? thresholds.suspicionTimeout : Duration(0);
+                evidence.selfIsPartitioned = (bits & 4) != 0;
+                const HealthStatus held = statusOf(version);
+                const std::uint64_t next = versionOf(nextStatus(record, held, evidence, thresholds));
+                const bool mayChange = !evidence.selfIsPartitioned && missed >= thresholds.missedRoundsToSuspect && (bits & 1) != 0;
                 const bool isDue = held.health == Health::Alive || (held.health == Health::Suspected && (bits & 2) != 0);
-                EXPECT_EQ(next, version + (mayJudge && isDue ? 1 : 0));
-                EXPECT_EQ(statementOf(next).incarnation, held.incarnation);
-                const HealthStatement refuted{held.incarnation + 1, Health::Alive};
+                EXPECT_EQ(next, version + (mayChange && isDue ? 1 : 0));
+                EXPECT_EQ(statusOf(next).incarnation, held.incarnation);
+                const HealthStatus refuted{held.incarnation + 1, Health::Alive};
                 EXPECT_GT(versionOf(refuted), next);
             }
         }
@@ -173,51 +173,51 @@
 TEST(Unreachable, TwoReportersOrThreeRefusalsConfirm)
 {
     const WallTime now(std::chrono::hours(1));
-    const auto single = nextWord("entry-1", {1, now}, std::nullopt, now);
+    const auto single = nextUnreachableReport("entry-1", {1, now}, std::nullopt, now);
     ASSERT_TRUE(single);
     EXPECT_FALSE(single->confirmed);
-    EXPECT_FALSE(nextWord("entry-1", {2, now}, single, now)) << "the same VM again is no second witness";
-    const auto second = nextWord("entry-2", {1, now}, single, now);
+    EXPECT_FALSE(nextUnreachableReport("entry-1", {2, now}, single, now)) << "the same VM again is no second witness";
+    const auto second = nextUnreachableReport("entry-2", {1, now}, single, now);
     ASSERT_TRUE(second && second->confirmed);
     EXPECT_GT(second->version, single->version);
-    const auto third = nextWord("entry-1", {3, now}, single, now);
+    const auto third = nextUnreachableReport("entry-1", {3, now}, single, now);
     ASSERT_TRUE(third && third->confirmed);
-    EXPECT_FALSE(nextWord("entry-1", {3, now}, second, now)) << "confirmed already";
-    EXPECT_TRUE(nextWord("entry-1", {1, now}, second, second->until)) << "it has run out";
+    EXPECT_FALSE(nextUnreachableReport("entry-1", {3, now}, second, now)) << "confirmed already";
+    EXPECT_TRUE(nextUnreachableReport("entry-1", {1, now}, second, second->until)) << "it has run out";
 }
 
 TEST(VmList, AllVmsTogetherReadItAtAConstantRate)
 {
-    EXPECT_EQ(listPeriod(1), std::chrono::milliseconds(500));
-    EXPECT_EQ(listPeriod(9), std::chrono::milliseconds(2250));
-    EXPECT_EQ(listPeriod(380), std::chrono::seconds(95));
-    EXPECT_EQ(listPeriod(10000), std::chrono::minutes(2));
+    EXPECT_EQ(listReadInterval(1), std::chrono::milliseconds(500));
+    EXPECT_EQ(listReadInterval(9), std::chrono::milliseconds(2250));
+    EXPECT_EQ(listReadInterval(380), std::chrono::seconds(95));
+    EXPECT_EQ(listReadInterval(10000), std::chrono::minutes(2));
 }
 
-TEST(VmList, VmsStartedAtOnceSpreadTheirReadings)
+TEST(VmList, VmsStartedAtOnceReadAtDifferentTimes)
 {
     constexpr std::size_t Entries = 380;
     constexpr Duration Watched = std::chrono::minutes(10);
-    std::vector<Duration> readings;
+    std::vector<Duration> readTimes;
     for (std::size_t i = 0; i < Entries; i++) {
         Duration at{0};
-        for (std::uint64_t reading = 1; at < Watched; reading++) {
-            readings.push_back(at);
-            at += listWait(Entries, fmt::format("entry-{}", i), reading);
+        for (std::uint64_t readNumber = 1; at < Watched; readNumber++) {
+            readTimes.push_back(at);
+            at += listReadDelay(Entries, fmt::format("entry-{}", i), readNumber);
         }
     }
-    std::sort(readings.begin(), readings.end());
-    Duration longest{0};
-    for (std::size_t i = 1; i < readings.size(); i++) {
-        longest = std::max(longest, readings[i] - readings[i - 1]);
+    std::sort(readTimes.begin(), readTimes.end());
+    Duration longestGap{0};
+    for (std::size_t i = 1; i < readTimes.size(); i++) {
+        longestGap = std::max(longestGap, readTimes[i] - readTimes[i - 1]);
     }
-    const double perSecond = static_cast<double>(readings.size()) / 600;
-    fmt::print("380 VMs: {:.2f} readings a second, longest gap {} ms\n", perSecond, longest.count() / 1000);
+    const double perSecond = static_cast<double>(readTimes.size()) / 600;
+    fmt::print("380 VMs: {:.2f} readings a second, longest gap {} ms\n", perSecond, longestGap.count() / 1000);
     EXPECT_LE(perSecond, 6);
-    EXPECT_LE(longest, std::chrono::seconds(3));
+    EXPECT_LE(longestGap, std::chrono::seconds(3));
 }
 
-TEST(Members, AVmThatIsNotListedAndFailedIsNoMember)
+TEST(Members, AFailedProvisionalVmIsRemoved)
 {
     ManualClock clock;
     const auto members = Members::create("entry-4", &clock);
--- a/src/membership/tests/subset_test.cpp
+++ b/src/membership/tests/subset_test.cpp
@@ -36,25 +36,25 @@
 struct Balance {
     std::size_t smallest = SIZE_MAX;
     std::size_t largest = 0;
-    std::size_t leastUsers = SIZE_MAX;
+    std::size_t fewestEntries = SIZE_MAX;
     double highestShare = 0; ///< Of the mean, when each entry VM spreads its requests evenly over its subset.
 };
 
 Balance balanceOf(const Subsets &subsets, const std::vector<std::string> &servers)
 {
     Balance balance;
-    std::map<std::string, std::size_t> users;
+    std::map<std::string, std::size_t> entryCounts;
     std::map<std::string, double> share;
     for (const auto &[entry, subset] : subsets) {
         balance.smallest = std::min(balance.smallest, subset.size());
         balance.largest = std::max(balance.largest, subset.size());
         for (const std::string &server : subset) {
-            users[server]++;
+            entryCounts[server]++;
             share[server] += 1.0 / static_cast<double>(subset.size());
         }
     }
     for (const std::string &server : servers) {
-        balance.leastUsers = std::min(balance.leastUsers, users[server]);
+        balance.fewestEntries = std::min(balance.fewestEntries, entryCounts[server]);
         balance.highestShare = std::max(balance.highestShare, share[server] * static_cast<double>(servers.size()) / static_cast<double>(subsets.size()));
     }
     return balance;
@@ -85,11 +85,11 @@
     fmt::print("subsets of {} to {} servers, at least {} users a server, highest share {:.2f} of the mean\n",
         balance.smallest,
         balance.largest,
-        balance.leastUsers,
+        balance.fewestEntries,
         balance.highestShare);
     EXPECT_GE(balance.smallest, SubsetSize / 2);
     EXPECT_LE(balance.largest, SubsetSize * 3 / 2);
-    EXPECT_GE(balance.leastUsers, 6U);
+    EXPECT_GE(balance.fewestEntries, 6U);
     EXPECT_LE(balance.highestShare, 1.6);
     // Zones are part of no decision: with servers dealt over 11 zones each subset has many of them.
     std::size_t fewestZones = 11;
@@ -103,24 +103,24 @@
     EXPECT_GE(fewestZones, 4U);
 }
 
-TEST(Subset, OneVmLessChangesLittle)
+TEST(Subset, RemovingOneVmChangesFewAssignments)
 {
     const auto servers = names("engine", 1100);
     const auto entries = names("entry", 380);
     const Subsets before = subsetsOf(servers, entries);
-    const std::vector<std::string> fewer(entries.begin() + 1, entries.end());
-    const Subsets afterEntry = subsetsOf(servers, fewer);
+    const std::vector<std::string> fewerEntries(entries.begin() + 1, entries.end());
+    const Subsets afterEntry = subsetsOf(servers, fewerEntries);
     const std::vector<std::string> fewerServers(servers.begin() + 1, servers.end());
     const Subsets afterServer = subsetsOf(fewerServers, entries);
-    std::size_t links = 0;
+    std::size_t assignments = 0;
     std::size_t changedByEntry = 0;
     std::size_t changedByServer = 0;
-    for (const std::string &entry : fewer) {
-        links += before.at(entry).size();
+    for (const std::string &entry : fewerEntries) {
+        assignments += before.at(entry).size();
         changedByEntry += differences(before.at(entry), afterEntry.at(entry));
         changedByServer += differences(before.at(entry), afterServer.at(entry));
     }
-    fmt::print("{} links; one entry VM less changes {}, one server less {}\n", links, changedByEntry, changedByServer);
-    EXPECT_LE(changedByEntry, links / 20);
-    EXPECT_LE(changedByServer, links / 20);
+    fmt::print("{} links; one entry VM less changes {}, one server less {}\n", assignments, changedByEntry, changedByServer);
+    EXPECT_LE(changedByEntry, assignments / 20);
+    EXPECT_LE(changedByServer, assignments / 20);
 }
--- a/src/membership/vmlist.h
+++ b/src/membership/vmlist.h
@@ -26,10 +26,10 @@
 
 /// How long one VM waits between two readings of the list. All @p entries VMs together read it about four times a second,
 /// whatever their number, and tell each other what is new.
-Duration listPeriod(std::size_t entries);
+Duration listReadInterval(std::size_t entries);
 /// The wait of VM @p self after its reading number @p reading, from 1. Differs from VM to VM, so that VMs that were all started
 /// at once don't read all at once.
-Duration listWait(std::size_t entries, const std::string &self, std::uint64_t reading);
+Duration listReadDelay(std::size_t entries, const std::string &self, std::uint64_t readNumber);
 
 /// Reads the platform's list of VMs again and again into Members.
 class VmListReader
@@ -45,16 +45,16 @@
 
 private:
     VmListReader() = default;
-    void readLater();
+    void scheduleRead();
     void read();
-    void takeList(std::span<const Vm> list);
+    void onList(std::span<const Vm> list);
     EventLoop *loop_ = nullptr;
     std::shared_ptr<http::Client> client_;
     std::shared_ptr<Members> members_;
     std::string endpoint_;
     VmListCounters counters_;
     bool hasRead_ = false;
-    std::uint64_t readings_ = 0;
+    std::uint64_t readCount_ = 0;
     std::function<void(const Vm &vm)> firstSeenHandler_;
 };
 
