--- a/src/presence/internal/statusformat.cpp
+++ b/src/presence/internal/statusformat.cpp
@@ -11,106 +11,107 @@
 
 namespace {
 
-/// What changes may unpack to: more than a watch keeps for others, with the names of the fields.
-constexpr std::size_t MostUnpacked = 128 * 1024;
-/// Entries of servers unpack to about five times as much; what unpacks to more is tried again with room for all.
-constexpr std::size_t UsualRatio = 10;
+/// Maximum size of unpacked changes in bytes: more than the changes that a watch keeps for other VMs, including the field names.
+constexpr std::size_t MaxUnpackedSize = 128 * 1024;
+/// Expected compression ratio, used for the first buffer. Server entries unpack to about five times their packed size; changes
+/// that unpack to more than this are tried again with the maximum size.
+constexpr std::size_t ExpectedRatio = 10;
 
-std::uint32_t micros(Duration duration)
+std::uint32_t toMicros(Duration duration)
 {
     return static_cast<std::uint32_t>(std::clamp<std::int64_t>(duration.count(), 0, UINT32_MAX));
 }
 
-std::uint32_t millis(Duration duration)
+std::uint32_t toMillis(Duration duration)
 {
     return static_cast<std::uint32_t>(std::clamp<std::int64_t>(std::chrono::duration_cast<std::chrono::milliseconds>(duration).count(), 0, UINT32_MAX));
 }
 
-/// @p told: null if there is nothing to tell.
-void addTable(wire::Status &out, const std::string &table, const rows::TableDelta &news, const TableDelta *told)
+/// @p packedDelta: the changes to send; null if there are none.
+void addTable(wire::Status &out, const std::string &table, const rows::TableDelta &delta, const PackedDelta *packedDelta)
 {
     auto *entry = out.add_tables();
     entry->set_table(table);
-    entry->set_era(news.version.era);
-    entry->set_version(news.version.number);
-    entry->set_age_us(micros(news.age));
-    entry->set_changed_at(news.changedAt);
-    // NOTE Without changes nothing is said of the time before: the receiver may lack some that are not told.
-    entry->set_since(news.version.number);
-    if (told != nullptr && told->version == news.version) {
-        entry->set_since(told->since.number);
-        entry->set_changes(told->packed);
-        if (told->digest) {
-            entry->set_digest(*told->digest);
+    entry->set_era(delta.version.era);
+    entry->set_version(delta.version.number);
+    entry->set_age_us(toMicros(delta.age));
+    entry->set_changed_at(delta.changedAt);
+    // NOTE Without changes, @c since is the version itself: earlier changes that the receiver may lack are not in the message.
+    entry->set_since(delta.version.number);
+    if (packedDelta != nullptr && packedDelta->version == delta.version) {
+        entry->set_since(packedDelta->since.number);
+        entry->set_changes(packedDelta->packed);
+        if (packedDelta->digest) {
+            entry->set_digest(*packedDelta->digest);
         }
     }
 }
 
-/// Empty if the changes can't be read.
+/// Empty if the changes can't be unpacked.
 std::optional<rows::TableDelta> readTable(const wire::TableNews &entry)
 {
-    rows::TableDelta news;
-    news.version = {entry.era(), entry.version()};
-    news.since = {entry.era(), entry.since()};
-    news.age = Duration(entry.age_us());
-    news.changedAt = entry.changed_at();
+    rows::TableDelta delta;
+    delta.version = {entry.era(), entry.version()};
+    delta.since = {entry.era(), entry.since()};
+    delta.age = Duration(entry.age_us());
+    delta.changedAt = entry.changed_at();
     if (entry.has_digest()) {
-        news.digest = entry.digest();
+        delta.digest = entry.digest();
     }
     if (entry.changes().empty()) {
-        return news;
+        return delta;
     }
     auto changes = unpackChanges(entry.changes(), entry.era());
     if (!changes) {
         return std::nullopt;
     }
-    news.changes = std::move(*changes);
-    return news;
+    delta.changes = std::move(*changes);
+    return delta;
 }
 
-/// Empty if @p packed is no such text, or unpacks to more than MostUnpacked.
-std::optional<std::string> inflated(std::string_view packed)
+/// Empty if @p packed is not zlib data, or unpacks to more than MaxUnpackedSize.
+std::optional<std::string> decompress(std::string_view packed)
 {
-    for (std::size_t room = std::min(MostUnpacked, packed.size() * UsualRatio);; room = MostUnpacked) {
-        std::string plain(room, '\0');
-        uLongf size = plain.size();
-        const int outcome = uncompress(reinterpret_cast<Bytef *>(plain.data()), &size, reinterpret_cast<const Bytef *>(packed.data()), packed.size());
-        if (outcome == Z_OK) {
-            plain.resize(size);
-            return plain;
+    for (std::size_t capacity = std::min(MaxUnpackedSize, packed.size() * ExpectedRatio);; capacity = MaxUnpackedSize) {
+        std::string unpacked(capacity, '\0');
+        uLongf size = unpacked.size();
+        const int result = uncompress(reinterpret_cast<Bytef *>(unpacked.data()), &size, reinterpret_cast<const Bytef *>(packed.data()), packed.size());
+        if (result == Z_OK) {
+            unpacked.resize(size);
+            return unpacked;
         }
-        if (outcome != Z_BUF_ERROR || room == MostUnpacked) {
+        if (result != Z_BUF_ERROR || capacity == MaxUnpackedSize) {
             return std::nullopt;
         }
     }
 }
 
-void addRollout(wire::Status &out, const RolloutReport &news)
+void addRollout(wire::Status &out, const RolloutReport &report)
 {
     auto *entry = out.add_rollouts();
-    entry->set_service(news.service);
-    entry->set_order(news.order.number);
-    entry->set_order_era(news.order.era);
-    entry->set_open_at_others(news.openAtOthers);
-    for (const RolloutCounts &counts : news.counts) {
-        auto *told = entry->add_counts();
-        told->set_route(counts.route);
-        told->set_server(counts.server);
-        told->set_failed(counts.failed);
-        told->mutable_answered()->Assign(counts.answered.begin(), counts.answered.end());
+    entry->set_service(report.service);
+    entry->set_order(report.order.number);
+    entry->set_order_era(report.order.era);
+    entry->set_open_at_others(report.openAtOthers);
+    for (const RolloutCounts &counts : report.counts) {
+        auto *wireCounts = entry->add_counts();
+        wireCounts->set_route(counts.route);
+        wireCounts->set_server(counts.server);
+        wireCounts->set_failed(counts.failed);
+        wireCounts->mutable_answered()->Assign(counts.answered.begin(), counts.answered.end());
     }
 }
 
 RolloutReport readRollout(const wire::RolloutNews &entry)
 {
-    RolloutReport news;
-    news.service = entry.service();
-    news.order = {entry.order_era(), entry.order()};
-    news.openAtOthers = entry.open_at_others();
-    for (const auto &told : entry.counts()) {
-        news.counts.push_back({told.route(), told.server(), told.failed(), {told.answered().begin(), told.answered().end()}});
-    }
-    return news;
+    RolloutReport report;
+    report.service = entry.service();
+    report.order = {entry.order_era(), entry.order()};
+    report.openAtOthers = entry.open_at_others();
+    for (const auto &wireCounts : entry.counts()) {
+        report.counts.push_back({wireCounts.route(), wireCounts.server(), wireCounts.failed(), {wireCounts.answered().begin(), wireCounts.answered().end()}});
+    }
+    return report;
 }
 
 } // namespace
@@ -130,10 +131,11 @@
         change->set_version(row.version.number);
         change->set_deleted(row.isDeleted);
     }
-    const std::string plain = list.SerializeAsString();
-    uLongf size = compressBound(plain.size());
+    const std::string serialized = list.SerializeAsString();
+    uLongf size = compressBound(serialized.size());
     std::string packed(size, '\0');
-    if (compress2(reinterpret_cast<Bytef *>(packed.data()), &size, reinterpret_cast<const Bytef *>(plain.data()), plain.size(), Z_BEST_SPEED) != Z_OK) {
+    if (compress2(reinterpret_cast<Bytef *>(packed.data()), &size, reinterpret_cast<const Bytef *>(serialized.data()), serialized.size(), Z_BEST_SPEED)
+        != Z_OK) {
         return {};
     }
     packed.resize(size);
@@ -142,9 +144,9 @@
 
 std::optional<std::vector<rows::Row>> unpackChanges(std::string_view packed, std::uint64_t era)
 {
-    const auto plain = inflated(packed);
+    const auto unpacked = decompress(packed);
     wire::RowChanges list;
-    if (!plain || !list.ParseFromString(*plain)) {
+    if (!unpacked || !list.ParseFromString(*unpacked)) {
         return std::nullopt;
     }
     std::vector<rows::Row> changes;
@@ -154,20 +156,20 @@
     return changes;
 }
 
-std::string encodeStatus(const Status &status, std::uint64_t echo, const std::map<std::string, TableDelta> &told)
+std::string encodeStatus(const Status &status, std::uint64_t echo, const std::map<std::string, PackedDelta> &deltas)
 {
     wire::Status out;
     out.set_instance(status.instance);
     out.set_incarnation(status.incarnation);
     out.set_sequence(status.sequence);
     out.set_echo(echo);
-    for (const auto &[table, news] : status.tables) {
-        const auto changes = told.find(table);
-        addTable(out, table, news, changes == told.end() ? nullptr : &changes->second);
+    for (const auto &[table, delta] : status.tables) {
+        const auto changes = deltas.find(table);
+        addTable(out, table, delta, changes == deltas.end() ? nullptr : &changes->second);
     }
     out.set_manifest_version(status.manifestVersion);
     if (status.sinceStoreOutage) {
-        out.set_store_back_us(micros(*status.sinceStoreOutage));
+        out.set_store_back_us(toMicros(*status.sinceStoreOutage));
     }
     if (status.clockOffset) {
         out.set_clock_offset_ms(std::chrono::duration_cast<std::chrono::milliseconds>(*status.clockOffset).count());
@@ -190,9 +192,9 @@
         entry->set_answered(static_cast<float>(server.answered));
         entry->set_failed(static_cast<float>(server.failed));
         entry->set_failed_in_a_row(static_cast<std::uint32_t>(server.failedInARow));
-        entry->set_since_failure_ms(millis(server.sinceFailure));
+        entry->set_since_failure_ms(toMillis(server.sinceFailure));
         if (server.sinceAnswer) {
-            entry->set_since_answer_ms(millis(*server.sinceAnswer));
+            entry->set_since_answer_ms(toMillis(*server.sinceAnswer));
         }
     }
     for (const ServiceLoad &load : status.services) {
@@ -216,7 +218,7 @@
     for (const ServerLimit &limit : status.limits) {
         auto *entry = out.add_limits();
         entry->set_server(limit.server);
-        entry->set_age_ms(millis(limit.age));
+        entry->set_age_ms(toMillis(limit.age));
         if (limit.isLimited) {
             entry->set_per_second(limit.perSecond);
         }
@@ -224,8 +226,8 @@
     for (const std::uint64_t suspect : status.suspects) {
         out.add_suspects(suspect);
     }
-    for (const RolloutReport &news : status.rollouts) {
-        addRollout(out, news);
+    for (const RolloutReport &report : status.rollouts) {
+        addRollout(out, report);
     }
     out.set_holds_lease(status.holdsLease);
     out.set_lacks_store(status.isStoreUnavailable);
@@ -253,8 +255,8 @@
     status.incarnation = in.incarnation();
     status.sequence = in.sequence();
     for (const auto &entry : in.tables()) {
-        if (auto news = readTable(entry)) {
-            status.tables[entry.table()] = std::move(*news);
+        if (auto delta = readTable(entry)) {
+            status.tables[entry.table()] = std::move(*delta);
         }
     }
     status.manifestVersion = in.manifest_version();
