--- a/src/daemon/main.cpp
+++ b/src/daemon/main.cpp
@@ -84,7 +84,7 @@
         return ExitUsage;
     }
     if (path.empty()) {
-        return runDaemon(cardamomlift::settings::embeddedDefaults(), {});
+        return runDaemon(cardamomlift::settings::standaloneSettings(), {});
     }
     auto settings = loadSettings(path);
     if (!settings) {
--- a/src/daemon/settingsfile.cpp
+++ b/src/daemon/settingsfile.cpp
@@ -21,7 +21,7 @@
     }
     std::stringstream text;
     text << file.rdbuf();
-    auto settings = platform::readDeployment(path, text.str(), findings);
+    auto settings = platform::readDeploymentSettings(path, text.str(), findings);
     if (!settings && !hasErrors(findings)) {
         settings = settings::readSettings(path, text.str(), findings);
     }
--- a/src/duties/dutiesmodule.cpp
+++ b/src/duties/dutiesmodule.cpp
@@ -40,7 +40,7 @@
         leaseTools.store = context.get<rows::RowStore>();
         leaseTools.presence = context.get<presence::Presence>();
         leaseTools.log = context.get<eventlog::EventLog>();
-        leaseTools.length = settings->routes->lease;
+        leaseTools.length = settings->routes->leaseDuration;
         const auto lease = LeaderLease::start(std::move(leaseTools));
         context.set(lease);
         context.get<metrics::Metrics>()->gauge("duty_lease_held", [lease] { return lease->isHeld() ? 1.0 : 0.0; });
--- a/src/forwarding/internal/routegateway.cpp
+++ b/src/forwarding/internal/routegateway.cpp
@@ -40,7 +40,7 @@
     ForwardingSettings result;
     result.zone = zone;
     result.strictKeys = settings.strictKeys;
-    result.maxKeyAge = settings.keyRevocation - KeyMargin;
+    result.maxKeyAge = settings.keyRevocationTime - KeyMargin;
     result.retryRatio = settings.retryRatio;
     result.retrySlack = settings.retrySlack;
     return result;
@@ -99,7 +99,8 @@
 void RouteGateway::applyLimits()
 {
     http1::ServerLimits limits;
-    limits.connections = tools_.settings.descriptors > ReservedDescriptors * 2 ? tools_.settings.descriptors - ReservedDescriptors : ReservedDescriptors;
+    limits.connections =
+        tools_.settings.maxFileDescriptors > ReservedDescriptors * 2 ? tools_.settings.maxFileDescriptors - ReservedDescriptors : ReservedDescriptors;
     limits.bodyBytesHeld = tools_.settings.memoryMegabytes * (1u << 20) / BodyMemoryDivisor;
     if (const auto current = tools_.manifests->current()) {
         const manifest::CallerLimits &declared = current->manifest().limits;
@@ -117,7 +118,7 @@
 
 void RouteGateway::applySettings(const settings::RouteGatewaySettings &settings)
 {
-    tools_.settings.grace = settings.grace;
+    tools_.settings.shutdownGrace = settings.shutdownGrace;
     tools_.settings.memoryMegabytes = settings.memoryMegabytes;
     tools_.forwarder->setSettings(forwardingSettings(settings, tools_.zone));
     applyLimits();
@@ -148,7 +149,7 @@
     onDrained_ = std::move(done);
     drainStartedAt_ = tools_.loop->now();
     callers_->beginClosing();
-    tools_.forwarder->beginDrain(drainStartedAt_ + tools_.settings.grace - GraceMargin);
+    tools_.forwarder->beginDrain(drainStartedAt_ + tools_.settings.shutdownGrace - GraceMargin);
     tools_.log->write(Event::Stopping, {{Attribute::Open, static_cast<std::int64_t>(callers_->openExchanges())}});
     drainTimer_ = tools_.loop->every(DrainCheckPeriod, [this] { checkDrained(); });
 }
@@ -157,7 +158,7 @@
 {
     const Duration elapsed = tools_.loop->now() - drainStartedAt_;
     const bool isIdle = callers_->openExchanges() == 0 && elapsed >= BalancerRemovalTime;
-    if (!isIdle && elapsed < tools_.settings.grace - GraceMargin) {
+    if (!isIdle && elapsed < tools_.settings.shutdownGrace - GraceMargin) {
         return;
     }
     tools_.loop->cancel(drainTimer_);
--- a/src/gateway/gatewaymodule.cpp
+++ b/src/gateway/gatewaymodule.cpp
@@ -1,8 +1,8 @@
 #include "gateway/gateway.h"
 #include "kernel/module.h"
 #include "kernel/runtime.h"
-#include "settings/listenfiles.h"
 #include "settings/settingstypes.h"
+#include "settings/tlsfiles.h"
 
 namespace cardamomlift::gateway {
 
--- a/src/operatorapi/operatorapimodule.cpp
+++ b/src/operatorapi/operatorapimodule.cpp
@@ -1,8 +1,8 @@
 #include "kernel/module.h"
 #include "kernel/runtime.h"
 #include "operatorapi/operatorapi.h"
-#include "settings/listenfiles.h"
 #include "settings/settingstypes.h"
+#include "settings/tlsfiles.h"
 
 namespace cardamomlift::operatorapi {
 
--- a/src/peers/peersmodule.cpp
+++ b/src/peers/peersmodule.cpp
@@ -2,8 +2,8 @@
 #include "kernel/runtime.h"
 #include "metrics/metrics.h"
 #include "peers/grpctransport.h"
-#include "settings/listenfiles.h"
 #include "settings/settingstypes.h"
+#include "settings/tlsfiles.h"
 
 #include <fmt/format.h>
 
@@ -32,7 +32,7 @@
         options.address = settings->peers.address;
         options.port = settings->peers.port;
         options.token = settings->peerToken;
-        BOOST_OUTCOME_TRY(files, settings::readListenFiles(settings->peers));
+        BOOST_OUTCOME_TRY(files, settings::readTlsFiles(settings->peers));
         options.certificatePem = files.certificatePem;
         options.privateKeyPem = files.privateKeyPem;
         options.authorityPem = files.authorityPem;
--- a/src/peers/tests/grpctransport_test.cpp
+++ b/src/peers/tests/grpctransport_test.cpp
@@ -121,7 +121,7 @@
     runtime->loop = loop.get();
     Context context;
     context.set(runtime);
-    context.set(std::make_shared<settings::Settings>(settings::embeddedDefaults()));
+    context.set(std::make_shared<settings::Settings>(settings::standaloneSettings()));
     const auto metrics = moduleNamed("metrics");
     const auto peersModule = moduleNamed("peers");
     ASSERT_TRUE(metrics->start(context));
--- a/src/settings/internal/jsontext.cpp
+++ b/src/settings/internal/jsontext.cpp
@@ -9,23 +9,23 @@
 
 namespace {
 
-struct Place {
+struct Position {
     int line = 1;
     int column = 1;
 };
 
-Place placeOf(std::string_view text, std::ptrdiff_t offset)
+Position positionAt(std::string_view text, std::ptrdiff_t offset)
 {
-    Place place;
+    Position position;
     for (std::ptrdiff_t i = 0; i < offset && i < static_cast<std::ptrdiff_t>(text.size()); i++) {
         if (text[static_cast<std::size_t>(i)] == '\n') {
-            place.line++;
-            place.column = 1;
+            position.line++;
+            position.column = 1;
         } else {
-            place.column++;
+            position.column++;
         }
     }
-    return place;
+    return position;
 }
 
 std::string oneLine(std::string text)
@@ -60,14 +60,14 @@
     }
     Finding finding;
     finding.file = result.file_;
-    // jsoncpp writes "* Line 3, Column 5\n  message".
+    // jsoncpp's error messages have the form "* Line 3, Column 5\n  message".
     if (std::sscanf(errors.c_str(), "* Line %d, Column %d", &finding.line, &finding.column) == 2) {
         const auto newline = errors.find('\n');
         errors = newline == std::string::npos ? errors : errors.substr(newline + 1);
     }
     const auto first = errors.find_first_not_of(' ');
     finding.message = "not valid JSON: " + oneLine(first == std::string::npos ? errors : errors.substr(first));
-    finding.remedy = "Correct the text at this place.";
+    finding.remedy = "Correct the syntax at this place.";
     findings.push_back(std::move(finding));
     return std::nullopt;
 }
@@ -79,8 +79,8 @@
 
 Finding JsonText::findingAt(const Json::Value &value, std::string message, std::string remedy) const
 {
-    const Place place = placeOf(text_, value.getOffsetStart());
-    return Finding{file_, place.line, place.column, std::move(message), std::move(remedy)};
+    const Position position = positionAt(text_, value.getOffsetStart());
+    return Finding{file_, position.line, position.column, std::move(message), std::move(remedy)};
 }
 
 ObjectReader::ObjectReader(const JsonText &text, const Json::Value &object, std::string what, Findings &findings)
@@ -94,9 +94,9 @@
     }
 }
 
-void ObjectReader::report(const Json::Value &place, std::string message, std::string remedy)
+void ObjectReader::report(const Json::Value &value, std::string message, std::string remedy)
 {
-    findings_.push_back(text_.findingAt(place, std::move(message), std::move(remedy)));
+    findings_.push_back(text_.findingAt(value, std::move(message), std::move(remedy)));
 }
 
 const Json::Value *ObjectReader::member(const char *name)
@@ -113,18 +113,18 @@
     const Json::Value *value = member(name);
     if (!value) {
         if (required && object_.isObject()) {
-            report(object_, fmt::format("{} has no \"{}\".", what_, name), fmt::format("Add \"{}\" with a text.", name));
+            report(object_, fmt::format("{} has no \"{}\".", what_, name), fmt::format("Add \"{}\" with a string.", name));
         }
         return fallback;
     }
     if (!value->isString()) {
-        report(*value, fmt::format("\"{}\" must be a text.", name), "Write it in double quotes.");
+        report(*value, fmt::format("\"{}\" must be a string.", name), "Write it in double quotes.");
         return fallback;
     }
     return value->asString();
 }
 
-std::int64_t ObjectReader::number(const char *name, bool required, std::int64_t fallback, std::int64_t low, std::int64_t high)
+std::int64_t ObjectReader::number(const char *name, bool required, std::int64_t fallback, std::int64_t min, std::int64_t max)
 {
     const Json::Value *value = member(name);
     if (!value) {
@@ -138,8 +138,8 @@
         return fallback;
     }
     const std::int64_t result = value->asInt64();
-    if (result < low || result > high) {
-        report(*value, fmt::format("\"{}\" is {}.", name, result), fmt::format("Write a number from {} to {}.", low, high));
+    if (result < min || result > max) {
+        report(*value, fmt::format("\"{}\" is {}, which is out of range.", name, result), fmt::format("Write a number from {} to {}.", min, max));
         return fallback;
     }
     return result;
--- a/src/settings/internal/settingsreader.cpp
+++ b/src/settings/internal/settingsreader.cpp
@@ -183,7 +183,7 @@
     return settings;
 }
 
-Settings embeddedDefaults()
+Settings standaloneSettings()
 {
     Settings settings;
     settings.instance = "alone";
--- a/src/settings/internal/listenfiles.cpp
+++ b/src/settings/internal/tlsfiles.cpp
@@ -1,4 +1,4 @@
-#include "settings/listenfiles.h"
+#include "settings/tlsfiles.h"
 
 #include <fstream>
 #include <sstream>
@@ -23,17 +23,17 @@
 
 } // namespace
 
-Result<ListenFiles> readListenFiles(const ListenSettings &listen)
+Result<TlsFiles> readTlsFiles(const ListenSettings &listen)
 {
     BOOST_OUTCOME_TRY(certificate, readFile(listen.certificateFile));
     BOOST_OUTCOME_TRY(privateKey, readFile(listen.privateKeyFile));
     BOOST_OUTCOME_TRY(authority, readFile(listen.authorityFile));
-    return ListenFiles{std::move(certificate), std::move(privateKey), std::move(authority)};
+    return TlsFiles{std::move(certificate), std::move(privateKey), std::move(authority)};
 }
 
 Result<http::ServerOptions> serverOptions(const ListenSettings &listen)
 {
-    BOOST_OUTCOME_TRY(files, readListenFiles(listen));
+    BOOST_OUTCOME_TRY(files, readTlsFiles(listen));
     http::ServerOptions options;
     options.address = listen.address;
     options.port = listen.port;
--- a/src/settings/jsontext.h
+++ b/src/settings/jsontext.h
@@ -10,15 +10,15 @@
 
 namespace cardamomlift::settings {
 
-/// A JSON text with comments, with the place of each value.
+/// A parsed JSON text, which may contain comments, that knows the line and column of each value.
 class JsonText
 {
 public:
-    /// Parses @p text. On failure adds findings and returns nothing.
+    /// Parses @p text. Empty on failure, with the reason added to @p findings.
     static std::optional<JsonText> parse(std::string file, std::string text, Findings &findings);
 
     const Json::Value &root() const;
-    /// A finding at the place of @p value, which must be a part of root().
+    /// Makes a finding that points to @p value, which must be a part of root().
     Finding findingAt(const Json::Value &value, std::string message, std::string remedy) const;
 
 private:
@@ -28,25 +28,26 @@
     Json::Value root_;
 };
 
-/// Reads the members of one JSON object, collecting findings: wrong types, values out of range, unknown members.
+/// Reads the members of a JSON object and collects findings: wrong types, values out of range, unknown members.
 class ObjectReader
 {
 public:
-    /// @p object may be of any type; if it isn't an object that is a finding and all reads give their defaults.
+    /// @p what names the object in messages. If @p object is not an object, this is a finding and all reads return fallbacks.
     ObjectReader(const JsonText &text, const Json::Value &object, std::string what, Findings &findings);
 
-    /// A text member. @p required: a missing one is a finding.
+    /// A string member. If it is missing and @p required, this is a finding.
     std::string text(const char *name, bool required, std::string fallback = {});
-    /// A whole number from @p low to @p high.
-    std::int64_t number(const char *name, bool required, std::int64_t fallback, std::int64_t low, std::int64_t high);
+    /// An integer from @p min to @p max.
+    std::int64_t number(const char *name, bool required, std::int64_t fallback, std::int64_t min, std::int64_t max);
     bool boolean(const char *name, bool fallback);
-    /// The member, or null if missing. It counts as known.
+    /// The member, of any type; null if it is missing.
     const Json::Value *member(const char *name);
-    /// The member as an array; a wrong type is a finding; missing gives null.
+    /// A member that is an array; null if it is missing, or of another type, which is a finding.
     const Json::Value *array(const char *name, bool required);
-    /// Reports every member that was not asked for. Call it last.
+    /// Reports each member that was not read before as unknown. To be called last.
     void rejectUnknown();
-    void report(const Json::Value &place, std::string message, std::string remedy);
+    /// Adds a finding that points to @p value.
+    void report(const Json::Value &value, std::string message, std::string remedy);
 
 private:
     const JsonText &text_;
--- a/src/settings/settingsreader.h
+++ b/src/settings/settingsreader.h
@@ -7,10 +7,10 @@
 
 namespace cardamomlift::settings {
 
-/// Reads and checks a whole settings text. All that is wrong is added to @p findings; then the result is not to be used.
+/// Parses and validates settings. Adds everything that is wrong to @p findings; the result must not be used then.
 Settings readSettings(const std::string &file, const std::string &text, Findings &findings);
 
-/// Settings of a daemon that runs alone with an in-memory platform, on free loopback ports.
-Settings embeddedDefaults();
+/// Settings of a standalone daemon: with an in-memory platform, on free ports of the loopback interface.
+Settings standaloneSettings();
 
 } // namespace cardamomlift::settings
--- a/src/settings/listenfiles.h
+++ b/src/settings/tlsfiles.h
@@ -8,17 +8,17 @@
 
 namespace cardamomlift::settings {
 
-/// The PEM texts that a ListenSettings names; empty for plaintext.
-struct ListenFiles {
+/// Contents of the PEM files that a ListenSettings names; empty where it names none.
+struct TlsFiles {
     std::string certificatePem;
     std::string privateKeyPem;
     std::string authorityPem;
 };
 
-/// Reads the files. Fails with the first that can't be read.
-Result<ListenFiles> readListenFiles(const ListenSettings &listen);
+/// Reads the files. Fails if one can't be read.
+Result<TlsFiles> readTlsFiles(const ListenSettings &listen);
 
-/// Server options of one port: address, port, TLS.
+/// The HTTP server options for one port: address, port, idle timeout and TLS. Fails if a PEM file can't be read.
 Result<http::ServerOptions> serverOptions(const ListenSettings &listen);
 
 } // namespace cardamomlift::settings
--- a/tests/product_test.cpp
+++ b/tests/product_test.cpp
@@ -227,7 +227,7 @@
     EXPECT_EQ(test::Process::run("cardamomliftd", {"--check-config", "--config", file}, output), 3);
     for (const char *part : {":3:17: error: \"instance\" is not a name",
              ":4:",
-             "\"zone\" must be a text",
+             "\"zone\" must be a string",
              "SHA-256",
              "70000",
              "unknown member \"addres\"",
