--- a/src/eventlog/eventlog.h
+++ b/src/eventlog/eventlog.h
@@ -13,18 +13,19 @@
 
 namespace cardamomlift::eventlog {
 
-/// Writes whole lines, 4 KB at most; false if they could not be written without waiting.
+/// Writes complete lines of at most 4 KB in total; false if they could not be written without blocking.
 using LineSink = std::function<bool(std::string_view lines)>;
 
-/// Standard output, through spdlog. Never waits for its reader: a line that does not fit now is dropped.
+/// Writes to standard output through spdlog. Never blocks: lines for which the pipe has no room are dropped.
 LineSink standardOutputSink();
 
-/// Structured log lines: one JSON object each, with bounds for each kind of event. What is dropped is counted, and the next
-/// line of that kind says how many.
+/// Structured log with one JSON object per line and a rate limit per event. Dropped lines are counted, and the next line of
+/// the same event reports how many were dropped.
 class EventLog
 {
 public:
-    /// While one lives lines are gathered and written together: hundreds of lines with a call to the system each are dear.
+    /// While a batch exists, lines are buffered and written together, as one system call per line is expensive for hundreds
+    /// of lines.
     class Batch
     {
     public:
@@ -45,30 +46,31 @@
     std::uint64_t written() const;
 
 private:
-    struct Bound {
-        double level = 0;
-        TimePoint filledAt;
-        std::uint64_t dropped = 0; ///< Since the last line.
+    /// Token bucket that limits the lines of one event.
+    struct RateLimit {
+        double tokens = 0;
+        TimePoint refilledAt;
+        std::uint64_t dropped = 0; ///< Lines dropped since the last written one.
     };
     EventLog(const Clock &clock, std::string instance, LineSink sink);
-    /// A line that was gathered.
-    struct Gathered {
+    /// A line in the buffer.
+    struct BufferedLine {
         Event event = Event::Count;
-        std::uint64_t toldDropped = 0; ///< Dropped lines of its kind that it tells of.
+        std::uint64_t reportedDropped = 0; ///< Dropped lines of its event that it reports.
     };
-    bool take(Bound &bound);
+    bool tryTake(RateLimit &limit);
     void formatLine(Event event, std::initializer_list<Value> values);
     void flush();
     const Clock &clock_;
     std::string instance_;
     LineSink sink_;
-    std::array<Bound, static_cast<std::size_t>(Event::Count)> bounds_;
+    std::array<RateLimit, static_cast<std::size_t>(Event::Count)> limits_;
     std::uint64_t dropped_ = 0;
     std::uint64_t written_ = 0;
-    std::string line_; ///< Kept for its memory.
-    int batches_ = 0; ///< Batches that live.
-    std::string gathered_;
-    std::vector<Gathered> gatheredLines_;
+    std::string line_; ///< A member so that its memory is reused.
+    int openBatches_ = 0; ///< Number of existing batches.
+    std::string buffer_;
+    std::vector<BufferedLine> bufferedLines_;
 };
 
 } // namespace cardamomlift::eventlog
--- a/src/eventlog/eventtypes.h
+++ b/src/eventlog/eventtypes.h
@@ -7,53 +7,53 @@
 
 namespace cardamomlift::eventlog {
 
-/// What a log line is about. One name each (eventName()), explained in docs/OPERATIONS.md.
+/// Kind of event that a log line reports. Each has a name, see eventName(), and is documented in docs/OPERATIONS.md.
 enum class Event {
     Started,
     Stopping,
     Stopped,
     Reloaded,
     ReloadFailed,
-    RequestDispatched, ///< A send to a backend server, the first or a repeat, and what it was chosen on.
-    RequestAnswered, ///< The backend server's answer went to the caller.
-    RequestRefused, ///< Our own answer: the request has not run.
-    RequestFailed, ///< Our own answer, or a cut: the request may have run.
-    RequestGone, ///< The caller left first.
-    RequestUnreadable,
-    AttemptFailed, ///< One send ended without a usable answer.
-    StreamMoved, ///< Its run is moved with its KV cache, since its server is reclaimed.
-    AllowanceUsedUp, ///< What a refusal by a customer's allowance was decided on.
+    RequestDispatched, ///< An attempt was sent to a backend server; the line has the data on which the server was chosen.
+    RequestAnswered, ///< The answer of the backend server was passed to the caller.
+    RequestRefused, ///< The entry VM answered with an error, and the request has not run.
+    RequestFailed, ///< The entry VM answered with an error or cut the answer off, and the request may have run.
+    RequestGone, ///< The caller disconnected before the answer was complete.
+    RequestUnreadable, ///< The request could not be parsed.
+    AttemptFailed, ///< An attempt on a backend server ended without a usable answer.
+    StreamMoved, ///< A stream was moved with its KV cache to another server, as its server is being reclaimed.
+    AllowanceUsedUp, ///< A request was refused by the customer's allowance; the line has the data behind the decision.
     ManifestInForce,
     ManifestRejected,
     ServerKnown,
     ServerLeaving,
-    ServerUnreadable, ///< Its entry in the list names no server; others than the servers may write there.
-    ServerAvoided, ///< Its requests failed too often: work goes elsewhere while it can.
-    ServerTrusted, ///< It gets work like the others again.
-    ServerSilent, ///< A request waits long, and nothing was heard from its server since.
-    ServerLimited, ///< It named a limit on its requests, another one, or none any more.
-    TableRead, ///< A table of the store was read whole.
-    StoreRestored, ///< The store came back from an older copy: what was written there since is gone.
+    ServerUnreadable, ///< An entry of the server list could not be parsed; not only the servers can write there.
+    ServerAvoided, ///< Too many of the server's requests failed: other servers are preferred while there are any.
+    ServerTrusted, ///< The server is treated like the others again.
+    ServerSilent, ///< A request has waited long, and nothing has been received from its server in the meantime.
+    ServerLimited, ///< The server set, changed or removed its limit on requests.
+    TableRead, ///< A snapshot of a store table was read.
+    StoreRestored, ///< The store was restored from an older copy; what was written after that copy is lost.
     StoreLost,
     StoreRegained,
     PeerLost,
     PeerRegained,
-    PeersRegrouped, ///< The entry VMs are divided into other groups.
+    PeersRegrouped, ///< The division of the entry VMs into groups changed.
     LeaseTaken,
     LeaseLost,
     UsageReported,
     OrderSent,
     OrderRefused,
-    RolloutOrdered, ///< The operator wants a service's traffic moved to another software version.
-    RolloutPhase, ///< This VM goes by another phase of a rollout from here on.
-    RolloutPaused, ///< The version on trial gets nothing from this VM, or again gets some.
-    RolloutStep, ///< A step of a rollout was decided, and on what.
-    RolloutUnreadable, ///< An order or record can't be read.
-    Suspended, ///< The process did not run for a while.
+    RolloutOrdered, ///< The operator ordered a rollout of another software version of a service.
+    RolloutPhase, ///< This VM switched to another phase of a rollout.
+    RolloutPaused, ///< This VM paused or resumed sending requests to the version on trial.
+    RolloutStep, ///< A rollout step was decided; the line has the data behind the decision.
+    RolloutUnreadable, ///< A rollout order or record could not be parsed.
+    Suspended, ///< The process was suspended for some time, for example with its VM.
     Count
 };
 
-/// What a value of a line is. One name each.
+/// Key of a value in a log line. Each has a name, see attributeName().
 enum class Attribute {
     Request,
     Route,
@@ -65,12 +65,12 @@
     Reason,
     Outcome,
     Attempt,
-    AgeMs, ///< Of the knowledge that decided.
+    AgeMs, ///< Age of the data behind the decision.
     Version,
     WaitMs,
     TookMs,
     FirstEventMs,
-    LeftMs, ///< Until the caller's time limit.
+    LeftMs, ///< Time left until the caller's deadline.
     RetryAfterMs,
     Open,
     Tokens,
@@ -83,29 +83,29 @@
     Dropped,
     Answered,
     Failed,
-    ReportAgeMs, ///< Of what a backend server said last of its load; -1: it has not.
-    Reported, ///< Running and waiting requests, as a backend server said last.
-    Candidates, ///< Backend servers that could have been chosen.
-    Outliers, ///< Of these.
-    InARow, ///< Failures without an answer between.
-    Cached, ///< Prompt tokens that the server is believed to keep.
-    ToRead, ///< Prompt tokens that the server is believed to have to read.
-    WaitingTokens, ///< Prompt tokens that this VM has sent there and that wait to be read.
-    Source, ///< A server from whose cache a part of the prompt is copied.
-    Left, ///< Of an allowance, in its unit.
-    Software, ///< Version of a backend server's software.
-    Order, ///< Of a rollout: the version of its row.
-    Expected, ///< Bad answers, if a version is as good as the others.
-    Score, ///< Log likelihood ratio that decided.
+    ReportAgeMs, ///< Age of the backend server's last load report; -1 if there is none.
+    Reported, ///< Running and waiting requests in the backend server's last load report.
+    Candidates, ///< Number of backend servers that could have been chosen.
+    Outliers, ///< Number of candidates that are outliers.
+    InARow, ///< Consecutive failures.
+    Cached, ///< Prompt tokens that the server is estimated to have cached.
+    ToRead, ///< Prompt tokens that the server is estimated to have to prefill.
+    WaitingTokens, ///< Prompt tokens that this VM has sent to the server and that wait for prefill.
+    Source, ///< Server from whose KV cache a part of the prompt is copied.
+    Left, ///< Rest of an allowance, in its unit.
+    Software, ///< Software version of a backend server.
+    Order, ///< Rollout order, given by the version of its row.
+    Expected, ///< Bad answers to be expected if the version on trial is as good as the baseline.
+    Score, ///< Log likelihood ratio of the decision.
     LimitPerSecond,
-    HerePerSecond, ///< Asked by callers of this VM.
-    ElsewherePerSecond, ///< Asked by callers of the other VMs.
-    Limit, ///< Requests a second that a backend server takes from all VMs; empty: it has named no limit.
-    Table, ///< Of the store.
-    Era, ///< Of the store: it rises each time the store is restored from an older copy.
-    ListVersion, ///< Version of the table of backend servers that decided.
-    ListAgeMs, ///< Since that list was certainly complete.
-    Limited, ///< Backend servers passed over, since their limits leave no room now.
+    HerePerSecond, ///< Rate of requests from callers of this VM.
+    ElsewherePerSecond, ///< Rate of requests from callers of the other VMs.
+    Limit, ///< Requests per second that a backend server accepts from all VMs together; empty if it has set no limit.
+    Table, ///< Table of the store.
+    Era, ///< Era of the store, which increases with each restore from an older copy.
+    ListVersion, ///< Version of the server list on which the decision was based.
+    ListAgeMs, ///< Time since the server list was last known to be complete.
+    Limited, ///< Number of backend servers skipped because of their request limits.
     Count,
     Last
 };
@@ -113,7 +113,7 @@
 std::string_view eventName(Event event);
 std::string_view attributeName(Attribute attribute);
 
-/// One value of a line.
+/// A value of a log line with its key.
 struct Value {
     Attribute attribute;
     std::variant<std::int64_t, std::string_view> value;
--- a/src/eventlog/internal/eventlog.cpp
+++ b/src/eventlog/internal/eventlog.cpp
@@ -14,20 +14,20 @@
 
 namespace {
 
-/// Lines of one kind a second, and at once. A VM serves some tens of requests a second, each with two or three lines; a
-/// line costs some 20 microseconds of a processor.
+/// Rate limit of the lines of one event, and its burst. A VM serves some tens of requests a second, each with two or three
+/// lines, and a line costs about 20 microseconds of CPU time.
 constexpr double LinesPerSecond = 200;
-constexpr double LinesAtOnce = 400;
+constexpr double LineBurst = 400;
 constexpr double MicrosecondsPerSecond = 1e6;
-constexpr std::size_t LongestText = 200;
-constexpr std::size_t LongestLine = 2000;
-/// A pipe with any room takes this much in one piece (POSIX: PIPE_BUF is at least 512; 4096 on Linux).
-constexpr std::size_t MostAtOnce = 4096;
-static_assert(LongestLine <= MostAtOnce);
+constexpr std::size_t MaxTextLength = 200;
+constexpr std::size_t MaxLineLength = 2000;
+/// PIPE_BUF on Linux (POSIX guarantees 512): a pipe that is ready for writing takes this many bytes in one write.
+constexpr std::size_t MaxWriteSize = 4096;
+static_assert(MaxLineLength <= MaxWriteSize);
 
 void appendEscaped(std::string &out, std::string_view text)
 {
-    for (const char c : text.substr(0, LongestText)) {
+    for (const char c : text.substr(0, MaxTextLength)) {
         if (c == '"' || c == '\\') {
             out += '\\';
             out += c;
@@ -51,8 +51,8 @@
     out += '"';
 }
 
-/// Writes to standard output only what its reader has room for.
-class NonBlockingSink : public spdlog::sinks::base_sink<std::mutex>
+/// Writes to standard output only if that does not block.
+class NonBlockingStdoutSink : public spdlog::sinks::base_sink<std::mutex>
 {
 public:
     bool lastWritten() const
@@ -82,7 +82,7 @@
 
 LineSink standardOutputSink()
 {
-    const auto sink = std::make_shared<NonBlockingSink>();
+    const auto sink = std::make_shared<NonBlockingStdoutSink>();
     const auto logger = std::make_shared<spdlog::logger>("events", sink);
     return [sink, logger](std::string_view line) {
         logger->info(spdlog::string_view_t(line.data(), line.size()));
@@ -95,9 +95,9 @@
     , instance_(std::move(instance))
     , sink_(std::move(sink))
 {
-    for (Bound &bound : bounds_) {
-        bound.level = LinesAtOnce;
-        bound.filledAt = clock.now();
+    for (RateLimit &limit : limits_) {
+        limit.tokens = LineBurst;
+        limit.refilledAt = clock.now();
     }
 }
 
@@ -106,16 +106,16 @@
     return std::shared_ptr<EventLog>(new EventLog(clock, std::move(instance), std::move(sink)));
 }
 
-bool EventLog::take(Bound &bound)
+bool EventLog::tryTake(RateLimit &limit)
 {
     const TimePoint now = clock_.now();
-    const double seconds = static_cast<double>((now - bound.filledAt).count()) / MicrosecondsPerSecond;
-    bound.level = std::min(LinesAtOnce, bound.level + std::max(0.0, seconds) * LinesPerSecond);
-    bound.filledAt = now;
-    if (bound.level < 1) {
+    const double seconds = static_cast<double>((now - limit.refilledAt).count()) / MicrosecondsPerSecond;
+    limit.tokens = std::min(LineBurst, limit.tokens + std::max(0.0, seconds) * LinesPerSecond);
+    limit.refilledAt = now;
+    if (limit.tokens < 1) {
         return false;
     }
-    bound.level -= 1;
+    limit.tokens -= 1;
     return true;
 }
 
@@ -130,11 +130,11 @@
         wall,
         clock_.now().time_since_epoch().count());
     for (const Value &value : values) {
-        if (line_.size() < LongestLine - LongestText * 2) {
+        if (line_.size() < MaxLineLength - MaxTextLength * 2) {
             appendValue(line_, value);
         }
     }
-    const std::uint64_t dropped = bounds_[static_cast<std::size_t>(event)].dropped;
+    const std::uint64_t dropped = limits_[static_cast<std::size_t>(event)].dropped;
     if (dropped > 0) {
         appendValue(line_, {Attribute::Dropped, static_cast<std::int64_t>(dropped)});
     }
@@ -143,38 +143,38 @@
 
 void EventLog::write(Event event, std::initializer_list<Value> values)
 {
-    Bound &bound = bounds_[static_cast<std::size_t>(event)];
-    if (!take(bound)) {
-        bound.dropped++;
+    RateLimit &limit = limits_[static_cast<std::size_t>(event)];
+    if (!tryTake(limit)) {
+        limit.dropped++;
         dropped_++;
         return;
     }
     formatLine(event, values);
-    if (gathered_.size() + line_.size() > MostAtOnce) {
+    if (buffer_.size() + line_.size() > MaxWriteSize) {
         flush();
     }
-    gathered_ += line_;
-    gatheredLines_.push_back({event, std::exchange(bound.dropped, 0)});
-    if (batches_ == 0) {
+    buffer_ += line_;
+    bufferedLines_.push_back({event, std::exchange(limit.dropped, 0)});
+    if (openBatches_ == 0) {
         flush();
     }
 }
 
 void EventLog::flush()
 {
-    if (gathered_.empty()) {
+    if (buffer_.empty()) {
         return;
     }
-    if (sink_(gathered_)) {
-        written_ += gatheredLines_.size();
+    if (sink_(buffer_)) {
+        written_ += bufferedLines_.size();
     } else {
-        for (const Gathered &line : gatheredLines_) {
-            bounds_[static_cast<std::size_t>(line.event)].dropped += line.toldDropped + 1;
+        for (const BufferedLine &line : bufferedLines_) {
+            limits_[static_cast<std::size_t>(line.event)].dropped += line.reportedDropped + 1;
         }
-        dropped_ += gatheredLines_.size();
+        dropped_ += bufferedLines_.size();
     }
-    gathered_.clear();
-    gatheredLines_.clear();
+    buffer_.clear();
+    bufferedLines_.clear();
 }
 
 EventLog::Batch EventLog::beginBatch()
@@ -185,12 +185,12 @@
 EventLog::Batch::Batch(EventLog &log)
     : log_(log)
 {
-    log_.batches_++;
+    log_.openBatches_++;
 }
 
 EventLog::Batch::~Batch()
 {
-    if (--log_.batches_ == 0) {
+    if (--log_.openBatches_ == 0) {
         log_.flush();
     }
 }
--- a/src/eventlog/tests/eventlog_test.cpp
+++ b/src/eventlog/tests/eventlog_test.cpp
@@ -38,7 +38,7 @@
     std::shared_ptr<EventLog> log_;
 };
 
-TEST_F(EventLogTest, ALineIsOneJsonObject)
+TEST_F(EventLogTest, EachLineIsOneJsonObject)
 {
     log_->write(Event::RequestRefused, {{Attribute::Request, "a\"b\\c\n"}, {Attribute::AgeMs, std::int64_t(5)}});
     const Json::Value line = last();
@@ -49,7 +49,7 @@
     EXPECT_EQ(std::count(lines_.back().begin(), lines_.back().end(), '\n'), 1);
 }
 
-TEST_F(EventLogTest, OneKindOfEventIsBoundedWithoutSilencingOthers)
+TEST_F(EventLogTest, TheRateLimitOfAnEventDoesNotAffectOthers)
 {
     for (int i = 0; i < 10'000; i++) {
         log_->write(Event::RequestRefused, {});
@@ -59,12 +59,12 @@
     EXPECT_EQ(last()["event"].asString(), "store_lost");
     clock_.advance(std::chrono::seconds(1));
     log_->write(Event::RequestRefused, {});
-    EXPECT_GT(last()["dropped"].asInt(), 9000) << "what was dropped is told";
+    EXPECT_GT(last()["dropped"].asInt(), 9000) << "dropped lines are reported";
     log_->write(Event::RequestRefused, {});
     EXPECT_FALSE(last().isMember("dropped"));
 }
 
-TEST_F(EventLogTest, LinesOfABatchGoOutInFewPieces)
+TEST_F(EventLogTest, ABatchIsWrittenInFewPieces)
 {
     {
         const auto batch = log_->beginBatch();
@@ -75,8 +75,8 @@
     EXPECT_LT(lines_.size(), 5U);
     std::string all;
     for (const std::string &piece : lines_) {
-        EXPECT_LE(piece.size(), 4096U) << "a pipe takes more in one piece only if it is empty enough";
-        EXPECT_EQ(piece.back(), '\n') << "whole lines";
+        EXPECT_LE(piece.size(), 4096U) << "a larger write may not fit into the pipe at once";
+        EXPECT_EQ(piece.back(), '\n') << "ends with a complete line";
         all += piece;
     }
     EXPECT_EQ(std::count(all.begin(), all.end(), '\n'), 100);
@@ -84,7 +84,7 @@
     EXPECT_EQ(log_->written(), 100U);
 }
 
-TEST_F(EventLogTest, ABatchThatNobodyReadsIsToldAsDroppedByKind)
+TEST_F(EventLogTest, DroppedLinesOfABatchAreReportedPerEvent)
 {
     isFull_ = true;
     log_->write(Event::ServerKnown, {});
@@ -102,7 +102,7 @@
     EXPECT_EQ(last()["dropped"].asInt(), 1);
 }
 
-TEST_F(EventLogTest, AReaderThatDoesNotReadCostsLinesNotTime)
+TEST_F(EventLogTest, LinesAreDroppedWhileTheSinkIsFull)
 {
     isFull_ = true;
     log_->write(Event::Started, {});
@@ -112,7 +112,7 @@
     EXPECT_EQ(log_->dropped(), 1U);
 }
 
-TEST_F(EventLogTest, LongTextsAreCut)
+TEST_F(EventLogTest, LongTextsAreTruncated)
 {
     const std::string text(100'000, 'x');
     log_->write(Event::RequestRefused, {{Attribute::Request, text}, {Attribute::Reason, text}});
@@ -135,22 +135,22 @@
 
 TEST(StandardOutputSink, AFullPipeDoesNotBlock)
 {
-    int ends[2];
-    ASSERT_EQ(::pipe(ends), 0);
+    int pipeEnds[2];
+    ASSERT_EQ(::pipe(pipeEnds), 0);
     const int standardOutput = ::dup(STDOUT_FILENO);
     std::fflush(stdout);
-    ::dup2(ends[1], STDOUT_FILENO);
+    ::dup2(pipeEnds[1], STDOUT_FILENO);
     const LineSink sink = standardOutputSink();
     const std::string line(1000, 'x');
     bool sawFull = false;
-    // Nobody reads: a pipe holds some 64 KB. A blocking write would never return.
+    // The pipe has no reader and holds about 64 KB, so a blocking write would never return.
     for (int i = 0; i < 1000 && !sawFull; i++) {
         sawFull = !sink(line);
     }
     ::dup2(standardOutput, STDOUT_FILENO);
     ::close(standardOutput);
-    ::close(ends[0]);
-    ::close(ends[1]);
+    ::close(pipeEnds[0]);
+    ::close(pipeEnds[1]);
     EXPECT_TRUE(sawFull);
 }
 
