--- a/src/usage/internal/usagecounter.cpp
+++ b/src/usage/internal/usagecounter.cpp
@@ -6,32 +6,32 @@
 
 namespace {
 
-/// Windows that a VM repeats in its statuses: the current one and those that may not have been reported yet.
-constexpr std::int64_t WindowsTold = 3;
-/// Windows kept here, for a new holder of the duty that reports late.
-constexpr std::int64_t WindowsKept = 8;
+/// Number of windows that a VM includes in its status: the current one and those whose usage may not have been reported yet.
+constexpr std::int64_t ReportedWindows = 3;
+/// Number of windows before the current one that are kept, for a new usage reporter that reports late.
+constexpr std::int64_t RetainedWindows = 8;
 
 } // namespace
 
-UsageCounter::UsageCounter(std::shared_ptr<presence::Presence> presence, std::shared_ptr<presence::ClusterClock> time, Duration window)
+UsageCounter::UsageCounter(std::shared_ptr<presence::Presence> presence, std::shared_ptr<presence::ClusterClock> clock, Duration window)
     : presence_(std::move(presence))
-    , time_(std::move(time))
+    , clock_(std::move(clock))
     , window_(window)
 {
 }
 
-std::shared_ptr<UsageCounter> UsageCounter::create(std::shared_ptr<presence::Presence> presence, std::shared_ptr<presence::ClusterClock> time, Duration window)
+std::shared_ptr<UsageCounter> UsageCounter::create(std::shared_ptr<presence::Presence> presence, std::shared_ptr<presence::ClusterClock> clock, Duration window)
 {
-    std::shared_ptr<UsageCounter> counter(new UsageCounter(std::move(presence), std::move(time), window));
+    std::shared_ptr<UsageCounter> counter(new UsageCounter(std::move(presence), std::move(clock), window));
     const std::weak_ptr<UsageCounter> weak = counter;
     counter->presence_->addStatusContributor([weak](presence::Status &status) {
         if (const auto self = weak.lock()) {
-            self->fill(status);
+            self->addToStatus(status);
         }
     });
     counter->presence_->onStatus([weak](const presence::Status &status, std::optional<TimePoint>) {
         if (const auto self = weak.lock()) {
-            self->takeStatus(status);
+            self->onStatus(status);
         }
     });
     return counter;
@@ -39,7 +39,7 @@
 
 std::optional<std::int64_t> UsageCounter::currentWindow() const
 {
-    const auto now = time_->now();
+    const auto now = clock_->now();
     if (!now) {
         return std::nullopt;
     }
@@ -54,51 +54,51 @@
 void UsageCounter::noteStarted(const std::string &customer)
 {
     if (const auto window = currentWindow()) {
-        own_[*window][presence::nameHash(customer)]++;
+        localCounts_[*window][presence::nameHash(customer)]++;
     }
 }
 
-void UsageCounter::fill(presence::Status &status)
+void UsageCounter::addToStatus(presence::Status &status)
 {
-    dropOld();
+    dropExpiredWindows();
     const auto current = currentWindow();
     if (!current) {
         return;
     }
-    for (auto entry = own_.lower_bound(*current - WindowsTold + 1); entry != own_.end(); ++entry) {
+    for (auto entry = localCounts_.lower_bound(*current - ReportedWindows + 1); entry != localCounts_.end(); ++entry) {
         for (const auto &[customer, count] : entry->second) {
             status.usage.push_back({entry->first, customer, static_cast<std::uint32_t>(count)});
         }
     }
 }
 
-void UsageCounter::takeStatus(const presence::Status &status)
+void UsageCounter::onStatus(const presence::Status &status)
 {
-    const Source source{status.instance, status.incarnation};
+    const PeerProcess source{status.instance, status.incarnation};
     for (const presence::UsageCount &usage : status.usage) {
-        std::uint64_t &count = others_[usage.window][source][usage.customer];
+        std::uint64_t &count = peerCounts_[usage.window][source][usage.customer];
         count = std::max<std::uint64_t>(count, usage.count);
     }
 }
 
-void UsageCounter::dropOld()
+void UsageCounter::dropExpiredWindows()
 {
     const auto current = currentWindow();
     if (!current) {
         return;
     }
-    own_.erase(own_.begin(), own_.lower_bound(*current - WindowsKept));
-    others_.erase(others_.begin(), others_.lower_bound(*current - WindowsKept));
+    localCounts_.erase(localCounts_.begin(), localCounts_.lower_bound(*current - RetainedWindows));
+    peerCounts_.erase(peerCounts_.begin(), peerCounts_.lower_bound(*current - RetainedWindows));
 }
 
 CustomerCounts UsageCounter::total(std::int64_t window) const
 {
     CustomerCounts sum;
-    if (const auto own = own_.find(window); own != own_.end()) {
+    if (const auto own = localCounts_.find(window); own != localCounts_.end()) {
         sum = own->second;
     }
-    const auto others = others_.find(window);
-    if (others == others_.end()) {
+    const auto others = peerCounts_.find(window);
+    if (others == peerCounts_.end()) {
         return sum;
     }
     for (const auto &[source, counts] : others->second) {
