--- a/src/retry/tests/attemptplanner_test.cpp
+++ b/src/retry/tests/attemptplanner_test.cpp
@@ -19,7 +19,7 @@
     return vm;
 }
 
-/// The planner of one entry VM before three engines.
+/// The planner of one entry VM with three engines.
 class AttemptPlannerTest : public testing::Test
 {
 protected:
@@ -28,7 +28,7 @@
         loop_ = std::move(EventLoop::create(clock_).value());
         const auto transport = peers::LocalTransport::create(*loop_, std::make_shared<peers::LocalNetwork>(), "entry-1");
         members_->applyList(std::vector<membership::Vm>{engineVm("engine-1"), engineVm("engine-2"), engineVm("engine-3")});
-        members_->onUnreachableReport([this](const std::string &instance) { reported_.push_back(instance); });
+        members_->onUnreachableReport([this](const std::string &instance) { unreachableReports_.push_back(instance); });
         PlannerTools tools;
         tools.clock = &clock_;
         tools.router = routing::Router::create(clock_, members_);
@@ -47,7 +47,7 @@
         return plan.server ? plan.server->instance : "";
     }
 
-    static void expectTooLate(const AttemptPlan &plan)
+    static void expectDeadlineImpossible(const AttemptPlan &plan)
     {
         EXPECT_EQ(plan.kind, PlanKind::GiveUp);
         EXPECT_EQ(plan.reason, RefusalReason::DeadlineImpossible);
@@ -59,44 +59,44 @@
     std::shared_ptr<membership::Members> members_ = membership::Members::create("entry-1", &clock_);
     std::shared_ptr<metrics::Metrics> metrics_ = metrics::Metrics::create();
     std::shared_ptr<AttemptPlanner> planner_;
-    std::vector<std::string> reported_;
+    std::vector<std::string> unreachableReports_;
     RequestRecord record_;
 };
 
 } // namespace
 
-TEST_F(AttemptPlannerTest, OnlyAConnectionThatWasNotMadeIsReportedAsUnreachable)
+TEST_F(AttemptPlannerTest, OnlyAFailedConnectIsReportedAsUnreachable)
 {
     const std::string first = attempt();
     planner_->attemptFailed(record_, first, FailureKind::Refused);
-    EXPECT_TRUE(reported_.empty());
+    EXPECT_TRUE(unreachableReports_.empty());
     const std::string second = attempt();
     planner_->attemptFailed(record_, second, FailureKind::NotSent);
-    EXPECT_EQ(reported_, std::vector<std::string>{second});
+    EXPECT_EQ(unreachableReports_, std::vector<std::string>{second});
     const std::string third = attempt();
     planner_->attemptFailed(record_, third, FailureKind::ConnectionBroken);
-    EXPECT_EQ(reported_, std::vector<std::string>{second});
+    EXPECT_EQ(unreachableReports_, std::vector<std::string>{second});
 }
 
-TEST_F(AttemptPlannerTest, AFailureAfterTheDeadlineIsToldAndNotRetried)
+TEST_F(AttemptPlannerTest, AFailureAfterTheDeadlineIsNotRetried)
 {
     record_.deadline = clock_.now() + std::chrono::seconds(1);
     const std::string first = attempt();
     EXPECT_EQ(planner_->attemptFailed(record_, first, FailureKind::NotSent).kind, PlanKind::Wait);
     const std::string second = attempt();
     clock_.advance(std::chrono::seconds(1));
-    expectTooLate(planner_->attemptFailed(record_, second, FailureKind::NotSent));
+    expectDeadlineImpossible(planner_->attemptFailed(record_, second, FailureKind::NotSent));
 }
 
-TEST_F(AttemptPlannerTest, NothingStartsAfterTheDeadline)
+TEST_F(AttemptPlannerTest, NoAttemptStartsAfterTheDeadline)
 {
     record_.deadline = clock_.now() + std::chrono::seconds(1);
     clock_.advance(std::chrono::seconds(1));
-    expectTooLate(planner_->planAttempt(record_));
+    expectDeadlineImpossible(planner_->planAttempt(record_));
     EXPECT_TRUE(record_.tried.empty());
 }
 
-TEST_F(AttemptPlannerTest, WhatIsAcceptedHasNoDeadline)
+TEST_F(AttemptPlannerTest, AnAcceptedRequestHasNoDeadline)
 {
     record_.deadline = clock_.now() + std::chrono::seconds(1);
     const std::string first = attempt();
