--- a/src/retry/internal/attemptplanner.cpp
+++ b/src/retry/internal/attemptplanner.cpp
@@ -42,7 +42,7 @@
 {
     std::shared_ptr<AttemptPlanner> planner(new AttemptPlanner);
     planner->tools_ = std::move(tools);
-    planner->tools_.suspects->onCrashTold([router = planner->tools_.router](const std::string &instance) { router->avoid(instance); });
+    planner->tools_.suspects->onRemoteCrash([router = planner->tools_.router](const std::string &instance) { router->avoid(instance); });
     return planner;
 }
 
@@ -63,8 +63,8 @@
 
 AttemptPlan AttemptPlanner::planAttempt(RequestRecord &record)
 {
-    const suspects::Standing standing = tools_.suspects->standing(record.fingerprint);
-    if (standing == suspects::Standing::Convicted) {
+    const suspects::SuspectState state = tools_.suspects->stateOf(record.fingerprint);
+    if (state == suspects::SuspectState::Blocked) {
         return giveUp(metrics::RefusalReason::CrashesServers,
             "This request crashed several servers and is no longer run. Change it before sending it again.",
             Duration(0));
@@ -72,17 +72,17 @@
     if (record.deadline && !record.accepted && tools_.clock->now() >= *record.deadline) {
         return giveUp(metrics::RefusalReason::DeadlineImpossible, "The deadline of the request has passed.", ShortRetryAfter);
     }
-    if (standing == suspects::Standing::Undecided) {
+    if (state == suspects::SuspectState::Undecided) {
         return planUndecided(record);
     }
-    if (standing == suspects::Standing::Suspect && !record.accepted && !tools_.suspects->isSettled(record.fingerprint)) {
+    if (state == suspects::SuspectState::Suspect && !record.accepted && !tools_.suspects->isSettled(record.fingerprint)) {
         // The report of the crash must reach the other VMs before this request can cause another one.
         AttemptPlan plan;
         plan.kind = PlanKind::Wait;
         plan.wait = UndecidedPollInterval;
         return plan;
     }
-    return startAttempt(record, standing == suspects::Standing::Suspect);
+    return startAttempt(record, state == suspects::SuspectState::Suspect);
 }
 
 AttemptPlan AttemptPlanner::planUndecided(RequestRecord &record)
@@ -131,11 +131,11 @@
     const bool isLeaving = !record.tried.empty() && tools_.members->isLeaving(record.tried.back());
     // A request that has not been accepted needs retry budget, which attemptFailed() checks.
     const bool mayMove = record.accepted || isLeaving;
-    const suspects::Standing standing = tools_.suspects->standing(record.fingerprint, record.running.size());
-    if (!mayMove || standing == suspects::Standing::Convicted || standing == suspects::Standing::Undecided) {
+    const suspects::SuspectState state = tools_.suspects->stateOf(record.fingerprint, record.running.size());
+    if (!mayMove || state == suspects::SuspectState::Blocked || state == suspects::SuspectState::Undecided) {
         return std::nullopt;
     }
-    auto server = chooseServer(record, standing == suspects::Standing::Suspect);
+    auto server = chooseServer(record, state == suspects::SuspectState::Suspect);
     if (!server) {
         return std::nullopt;
     }
@@ -153,7 +153,7 @@
 
 void AttemptPlanner::connectionBroken(const std::string &instance)
 {
-    tools_.suspects->serverBroke(instance);
+    tools_.suspects->connectionBroken(instance);
 }
 
 void AttemptPlanner::attemptReplaced(RequestRecord &record, const std::string &instance, routing::AttemptEnd end)
@@ -184,7 +184,7 @@
 void AttemptPlanner::attemptEnded(RequestRecord &record, const std::string &instance, routing::AttemptEnd end)
 {
     const bool isWhole = end == routing::AttemptEnd::Answered;
-    recordEnd(record, instance, end, isWhole ? suspects::AttemptOutcome::Whole : suspects::AttemptOutcome::Other);
+    recordEnd(record, instance, end, isWhole ? suspects::AttemptOutcome::Completed : suspects::AttemptOutcome::Other);
 }
 
 std::size_t AttemptPlanner::untriedServers(const RequestRecord &record) const
@@ -207,7 +207,7 @@
         failure = FailureKind::ServerLeaving;
     }
     record.mayHaveRun = record.mayHaveRun || mayHaveRun(failure);
-    const auto outcome = failure == FailureKind::ConnectionBroken ? suspects::AttemptOutcome::Broken : suspects::AttemptOutcome::Other;
+    const auto outcome = failure == FailureKind::ConnectionBroken ? suspects::AttemptOutcome::ConnectionBroken : suspects::AttemptOutcome::Other;
     recordEnd(record, server, failure == FailureKind::Refused ? routing::AttemptEnd::Refused : routing::AttemptEnd::Failed, outcome);
     if (const membership::Vm *vm = tools_.members->find(server); vm && failure != FailureKind::Refused) {
         record.route.avoidZones.push_back(vm->zone);
@@ -217,7 +217,7 @@
     }
     RetryContext context;
     context.attempts = record.tried.size() - record.moves;
-    if (tools_.suspects->standing(record.fingerprint) != suspects::Standing::Trusted) {
+    if (tools_.suspects->stateOf(record.fingerprint) != suspects::SuspectState::Trusted) {
         // MaxCrashes already bounds the attempts of a suspect. If it were refused here, its caller would send it to another VM.
         context.attempts = std::min(context.attempts, MaxAttempts - 1);
     }
--- a/src/suspects/crashstore.h
+++ b/src/suspects/crashstore.h
@@ -9,47 +9,49 @@
 
 namespace cardamomlift::suspects {
 
-/// Crashes and convictions this VM knows of, its own and those of other VMs. Bounded: the oldest go first, and all are
-/// forgotten after a time.
+/// The crashes and blocked requests known to this VM, including those reported by other VMs. Bounded in size: the oldest are
+/// evicted. Entries expire after CrashRetention.
 class CrashStore
 {
 public:
-    /// @p present were in flight at @p instance when it broke. Reports of one crash are merged. False if nothing is new.
-    bool addCrash(const std::string &instance, TimePoint at, std::span<const Progress> present);
-    /// A request went on. It is cleared of the crashes known now if it got clearly further than it was then. False if
-    /// nothing is new.
+    /// Records that @p inFlight were in flight on @p instance when it crashed. Reports of one crash are merged. Returns false
+    /// if nothing changed.
+    bool addCrash(const std::string &instance, TimePoint at, std::span<const Progress> inFlight);
+    /// Records the progress of a request. It is cleared of each known crash that its answer has clearly passed. Returns false
+    /// if nothing changed.
     bool clear(const Progress &progress);
-    /// The least position that clears @p fingerprint of all crashes; none if it is at no crash uncleared.
-    std::optional<std::uint64_t> clearedFrom(Fingerprint fingerprint) const;
-    /// @p instance answers: it did not crash. False if nothing is new.
+    /// The least position that clears @p fingerprint of all crashes; empty if there is no crash to clear it of.
+    std::optional<std::uint64_t> clearingPosition(Fingerprint fingerprint) const;
+    /// Removes the crashes of @p instance, which was found not to have crashed. Returns false if there are none.
     bool retract(const std::string &instance);
-    /// False if it was known for as long.
-    bool convict(Fingerprint fingerprint, TimePoint until);
-    /// How @p fingerprint may run. Does not convict by itself.
-    Standing standing(Fingerprint fingerprint, TimePoint now) const;
-    /// The time of the last crash that speaks against @p fingerprint; the clock's origin if none does.
-    TimePoint latestAgainst(Fingerprint fingerprint) const;
-    bool isConvicted(Fingerprint fingerprint) const;
-    /// When @p instance crashed last, if it did.
+    /// Blocks a request until @p until. Returns false if it is already blocked.
+    bool block(Fingerprint fingerprint, TimePoint until);
+    /// How @p fingerprint may run. Does not block it by itself.
+    SuspectState stateOf(Fingerprint fingerprint, TimePoint now) const;
+    /// Time of the latest crash of which @p fingerprint may be the cause; the clock's origin if there is none.
+    TimePoint latestCrash(Fingerprint fingerprint) const;
+    bool isBlocked(Fingerprint fingerprint) const;
+    /// Time of the latest crash of @p instance, if any.
     std::optional<TimePoint> crashedAt(const std::string &instance) const;
     std::vector<std::string> crashedInstances() const;
-    /// Changes with each change of the crashes.
+    /// Increases whenever the crashes may have changed.
     std::uint64_t version() const;
-    /// Forgets what is too old.
+    /// Removes what has expired.
     void expire(TimePoint now);
     bool empty() const;
     std::size_t crashes() const;
 
 private:
-    bool mergeCrash(const std::string &instance, TimePoint at, std::span<const Progress> present);
-    std::vector<Crash> crashes_; ///< Oldest first.
-    /// Rumours come in any order: the furthest each request got, for reports that come after.
-    std::unordered_map<Fingerprint, std::uint64_t> earlyClears_;
-    std::unordered_map<Fingerprint, TimePoint> convictedUntil_;
+    bool mergeCrash(const std::string &instance, TimePoint at, std::span<const Progress> inFlight);
+    std::vector<Crash> crashes_; ///< In the order in which they were first reported.
+    /// The furthest position of each request. Gossip is not ordered, so progress may be received before the report of the
+    /// crash that it clears.
+    std::unordered_map<Fingerprint, std::uint64_t> furthestPositions_;
+    std::unordered_map<Fingerprint, TimePoint> blockedUntil_;
     std::uint64_t version_ = 1;
 };
 
-/// How long a conviction and the memory of a crash last.
-inline constexpr Duration RememberFor = std::chrono::minutes(10);
+/// How long a crash is remembered and a request stays blocked.
+inline constexpr Duration CrashRetention = std::chrono::minutes(10);
 
 } // namespace cardamomlift::suspects
--- a/src/suspects/internal/crashevidence.cpp
+++ b/src/suspects/internal/crashevidence.cpp
@@ -9,33 +9,33 @@
 
 namespace {
 
-/// Order in which undecided requests run: least suspected first.
+/// Order in which undecided requests are probed: the least suspected first.
 struct Rank {
     std::size_t crashes = 0;
-    std::uint64_t missing = 0; ///< The further an answer had come, the less.
+    std::uint64_t remaining = 0; ///< Distance to CompleteAnswer: lower the further the answer got.
     Fingerprint fingerprint = 0;
 
     bool operator<(const Rank &other) const
     {
-        return std::tie(crashes, missing, fingerprint) < std::tie(other.crashes, other.missing, other.fingerprint);
+        return std::tie(crashes, remaining, fingerprint) < std::tie(other.crashes, other.remaining, other.fingerprint);
     }
 };
 
-bool isPresent(const Crash &crash, Fingerprint fingerprint)
+bool isInFlight(const Crash &crash, Fingerprint fingerprint)
 {
     return std::any_of(
-        crash.present.begin(), crash.present.end(), [&](const Presence &presence) { return presence.fingerprint == fingerprint && !presence.cleared; });
+        crash.inFlight.begin(), crash.inFlight.end(), [&](const InFlightRequest &request) { return request.fingerprint == fingerprint && !request.cleared; });
 }
 
-Rank rankOf(std::span<const Crash> crashes, Fingerprint fingerprint, const std::function<bool(Fingerprint)> &isConvicted)
+Rank rankOf(std::span<const Crash> crashes, Fingerprint fingerprint, const std::function<bool(Fingerprint)> &isBlocked)
 {
     std::uint64_t furthest = 0;
     for (const Crash &crash : crashes) {
-        for (const Presence &presence : crash.present) {
-            furthest = presence.fingerprint == fingerprint ? std::max(furthest, presence.position) : furthest;
+        for (const InFlightRequest &request : crash.inFlight) {
+            furthest = request.fingerprint == fingerprint ? std::max(furthest, request.position) : furthest;
         }
     }
-    return {evidenceAgainst(crashes, fingerprint, isConvicted).crashes, WholeAnswer - furthest, fingerprint};
+    return {evidenceAgainst(crashes, fingerprint, isBlocked).crashes, CompleteAnswer - furthest, fingerprint};
 }
 
 } // namespace
@@ -45,64 +45,65 @@
     return text::stableHash(body, text::stableHash(target, text::stableHash(customer)));
 }
 
-CrashEvidence evidenceAgainst(std::span<const Crash> crashes, Fingerprint fingerprint, const std::function<bool(Fingerprint)> &isConvicted)
+CrashEvidence evidenceAgainst(std::span<const Crash> crashes, Fingerprint fingerprint, const std::function<bool(Fingerprint)> &isBlocked)
 {
     CrashEvidence evidence;
     for (const Crash &crash : crashes) {
-        bool wasPresent = false;
+        bool wasInFlight = false;
         bool isExplained = false;
-        bool hasOthers = false;
-        for (const Presence &presence : crash.present) {
-            if (presence.fingerprint == fingerprint) {
-                wasPresent = !presence.cleared;
+        bool hasOtherCauses = false;
+        for (const InFlightRequest &request : crash.inFlight) {
+            if (request.fingerprint == fingerprint) {
+                wasInFlight = !request.cleared;
                 continue;
             }
-            isExplained = isExplained || isConvicted(presence.fingerprint);
-            hasOthers = hasOthers || !presence.cleared;
+            isExplained = isExplained || isBlocked(request.fingerprint);
+            hasOtherCauses = hasOtherCauses || !request.cleared;
         }
-        if (!wasPresent || isExplained) {
+        if (!wasInFlight || isExplained) {
             continue;
         }
         evidence.crashes++;
-        evidence.onlyCause += hasOthers ? 0 : 1;
+        evidence.soleSuspectCrashes += hasOtherCauses ? 0 : 1;
         evidence.latest = std::max(evidence.latest, crash.at);
     }
     return evidence;
 }
 
-bool mayProbe(std::span<const Crash> crashes, Fingerprint fingerprint, const std::function<bool(Fingerprint)> &isConvicted)
+bool mayProbe(std::span<const Crash> crashes, Fingerprint fingerprint, const std::function<bool(Fingerprint)> &isBlocked)
 {
-    const auto own = rankOf(crashes, fingerprint, isConvicted);
-    bool hasRivals = false;
+    const auto own = rankOf(crashes, fingerprint, isBlocked);
+    bool hasOtherSuspects = false;
     for (const Crash &crash : crashes) {
-        const bool isExplained = std::any_of(crash.present.begin(), crash.present.end(), [&](const Presence &one) { return isConvicted(one.fingerprint); });
-        if (!isPresent(crash, fingerprint) || isExplained) {
+        const bool isExplained =
+            std::any_of(crash.inFlight.begin(), crash.inFlight.end(), [&](const InFlightRequest &one) { return isBlocked(one.fingerprint); });
+        if (!isInFlight(crash, fingerprint) || isExplained) {
             continue;
         }
-        for (const Presence &presence : crash.present) {
-            if (presence.fingerprint == fingerprint || presence.cleared) {
+        for (const InFlightRequest &request : crash.inFlight) {
+            if (request.fingerprint == fingerprint || request.cleared) {
                 continue;
             }
-            hasRivals = true;
-            if (rankOf(crashes, presence.fingerprint, isConvicted) < own) {
+            hasOtherSuspects = true;
+            if (rankOf(crashes, request.fingerprint, isBlocked) < own) {
                 return false;
             }
         }
     }
-    return hasRivals;
+    return hasOtherSuspects;
 }
 
-Standing standingOf(const CrashEvidence &evidence, TimePoint now)
+SuspectState suspectState(const CrashEvidence &evidence, TimePoint now)
 {
     if (evidence.crashes == 0) {
-        return Standing::Trusted;
+        return SuspectState::Trusted;
     }
     if (evidence.crashes < MaxCrashes) {
-        return Standing::Suspect;
+        return SuspectState::Suspect;
     }
-    const bool isProved = evidence.onlyCause >= OnlyCauseNeeded;
-    const bool isSettled = now - evidence.latest >= SettleTime;
-    return isProved && isSettled ? Standing::Convicted : Standing::Undecided;
+    const bool hasSoleSuspectCrashes = evidence.soleSuspectCrashes >= MinSoleSuspectCrashes;
+    const bool isSettled = now - evidence.latest >= ReportSettleTime;
+    return hasSoleSuspectCrashes && isSettled ? SuspectState::Blocked : SuspectState::Undecided;
 }
 
 } // namespace cardamomlift::suspects
--- a/src/suspects/internal/crashstore.cpp
+++ b/src/suspects/internal/crashstore.cpp
@@ -8,87 +8,89 @@
 
 namespace {
 
-constexpr std::size_t MostCrashesKept = 256;
-constexpr std::size_t MostPresent = 512;
-constexpr std::size_t MostEarlyClears = 4096;
-constexpr std::size_t MostConvictions = 1024;
-/// Tokens an answer must be beyond where it was at a crash. Covers those that were made and lost on the way.
+constexpr std::size_t MaxStoredCrashes = 256;
+constexpr std::size_t MaxInFlight = 512;
+constexpr std::size_t MaxFurthestPositions = 4096;
+constexpr std::size_t MaxBlocked = 1024;
+/// How many tokens an answer must have progressed beyond its position at a crash to be cleared of it. Covers tokens that the
+/// crashed server had generated but that were lost in transit.
 constexpr std::uint64_t ClearMargin = 8;
-/// Reports of one instance within this time are about the same crash.
-constexpr Duration SameCrash = std::chrono::seconds(5);
-
-bool addPresent(Crash &crash, std::span<const Progress> present)
-{
-    bool isNews = false;
-    for (const Progress &added : present) {
-        const bool known = std::any_of(crash.present.begin(), crash.present.end(), [&](const Presence &one) { return one.fingerprint == added.fingerprint; });
-        if (!known && crash.present.size() < MostPresent) {
-            crash.present.push_back({added.fingerprint, added.position, false});
-            isNews = true;
+/// Reports about one instance within this time are taken as the same crash.
+constexpr Duration SameCrashWindow = std::chrono::seconds(5);
+
+bool addInFlight(Crash &crash, std::span<const Progress> inFlight)
+{
+    bool isChanged = false;
+    for (const Progress &added : inFlight) {
+        const bool known =
+            std::any_of(crash.inFlight.begin(), crash.inFlight.end(), [&](const InFlightRequest &one) { return one.fingerprint == added.fingerprint; });
+        if (!known && crash.inFlight.size() < MaxInFlight) {
+            crash.inFlight.push_back({added.fingerprint, added.position, false});
+            isChanged = true;
         }
     }
-    return isNews;
+    return isChanged;
 }
 
 } // namespace
 
-bool CrashStore::addCrash(const std::string &instance, TimePoint at, std::span<const Progress> present)
+bool CrashStore::addCrash(const std::string &instance, TimePoint at, std::span<const Progress> inFlight)
 {
     version_++;
-    const bool isNews = mergeCrash(instance, at, present);
-    for (const Progress &progress : present) {
-        const auto early = earlyClears_.find(progress.fingerprint);
-        if (early != earlyClears_.end()) {
+    const bool isChanged = mergeCrash(instance, at, inFlight);
+    for (const Progress &progress : inFlight) {
+        const auto early = furthestPositions_.find(progress.fingerprint);
+        if (early != furthestPositions_.end()) {
             clear({progress.fingerprint, early->second});
         }
     }
-    return isNews;
+    return isChanged;
 }
 
-bool CrashStore::mergeCrash(const std::string &instance, TimePoint at, std::span<const Progress> present)
+bool CrashStore::mergeCrash(const std::string &instance, TimePoint at, std::span<const Progress> inFlight)
 {
     for (Crash &crash : crashes_) {
         const Duration apart = crash.at > at ? crash.at - at : at - crash.at;
-        if (crash.instance == instance && apart < SameCrash) {
-            return addPresent(crash, present);
+        if (crash.instance == instance && apart < SameCrashWindow) {
+            return addInFlight(crash, inFlight);
         }
     }
-    if (crashes_.size() >= MostCrashesKept) {
+    if (crashes_.size() >= MaxStoredCrashes) {
         crashes_.erase(crashes_.begin());
     }
     crashes_.push_back({instance, at, {}});
-    addPresent(crashes_.back(), present);
+    addInFlight(crashes_.back(), inFlight);
     return true;
 }
 
 bool CrashStore::clear(const Progress &progress)
 {
-    if (earlyClears_.size() >= MostEarlyClears) {
-        earlyClears_.clear();
+    if (furthestPositions_.size() >= MaxFurthestPositions) {
+        furthestPositions_.clear();
     }
-    std::uint64_t &furthest = earlyClears_[progress.fingerprint];
+    std::uint64_t &furthest = furthestPositions_[progress.fingerprint];
     furthest = std::max(furthest, progress.position);
-    bool isNews = false;
+    bool isChanged = false;
     for (Crash &crash : crashes_) {
-        for (Presence &presence : crash.present) {
-            const bool isBeyond = progress.position >= presence.position + ClearMargin;
-            if (presence.fingerprint == progress.fingerprint && isBeyond && !presence.cleared) {
-                presence.cleared = true;
-                isNews = true;
+        for (InFlightRequest &request : crash.inFlight) {
+            const bool isBeyond = progress.position >= request.position + ClearMargin;
+            if (request.fingerprint == progress.fingerprint && isBeyond && !request.cleared) {
+                request.cleared = true;
+                isChanged = true;
             }
         }
     }
-    version_ += isNews ? 1 : 0;
-    return isNews;
+    version_ += isChanged ? 1 : 0;
+    return isChanged;
 }
 
-std::optional<std::uint64_t> CrashStore::clearedFrom(Fingerprint fingerprint) const
+std::optional<std::uint64_t> CrashStore::clearingPosition(Fingerprint fingerprint) const
 {
     std::optional<std::uint64_t> from;
     for (const Crash &crash : crashes_) {
-        for (const Presence &presence : crash.present) {
-            if (presence.fingerprint == fingerprint && !presence.cleared) {
-                from = std::max(from.value_or(0), presence.position + ClearMargin);
+        for (const InFlightRequest &request : crash.inFlight) {
+            if (request.fingerprint == fingerprint && !request.cleared) {
+                from = std::max(from.value_or(0), request.position + ClearMargin);
             }
         }
     }
@@ -101,39 +103,39 @@
     return std::erase_if(crashes_, [&](const Crash &crash) { return crash.instance == instance; }) > 0;
 }
 
-bool CrashStore::convict(Fingerprint fingerprint, TimePoint until)
+bool CrashStore::block(Fingerprint fingerprint, TimePoint until)
 {
-    if (convictedUntil_.size() >= MostConvictions) {
-        const auto soonest = std::min_element(convictedUntil_.begin(), convictedUntil_.end(), [](const auto &a, const auto &b) { return a.second < b.second; });
-        convictedUntil_.erase(soonest);
+    if (blockedUntil_.size() >= MaxBlocked) {
+        const auto soonest = std::min_element(blockedUntil_.begin(), blockedUntil_.end(), [](const auto &a, const auto &b) { return a.second < b.second; });
+        blockedUntil_.erase(soonest);
     }
-    return convictedUntil_.emplace(fingerprint, until).second;
+    return blockedUntil_.emplace(fingerprint, until).second;
 }
 
-Standing CrashStore::standing(Fingerprint fingerprint, TimePoint now) const
+SuspectState CrashStore::stateOf(Fingerprint fingerprint, TimePoint now) const
 {
-    if (isConvicted(fingerprint)) {
-        return Standing::Convicted;
+    if (isBlocked(fingerprint)) {
+        return SuspectState::Blocked;
     }
-    const CrashEvidence evidence = evidenceAgainst(crashes_, fingerprint, [this](Fingerprint other) { return isConvicted(other); });
-    const Standing standing = standingOf(evidence, now);
-    const bool isProved = evidence.onlyCause >= OnlyCauseNeeded;
-    const bool isSettled = now - evidence.latest >= SettleTime;
-    if (standing == Standing::Undecided && !isProved && isSettled
-        && mayProbe(crashes_, fingerprint, [this](Fingerprint other) { return isConvicted(other); })) {
-        return Standing::Suspect;
+    const CrashEvidence evidence = evidenceAgainst(crashes_, fingerprint, [this](Fingerprint other) { return isBlocked(other); });
+    const SuspectState state = suspectState(evidence, now);
+    const bool hasSoleSuspectCrashes = evidence.soleSuspectCrashes >= MinSoleSuspectCrashes;
+    const bool isSettled = now - evidence.latest >= ReportSettleTime;
+    if (state == SuspectState::Undecided && !hasSoleSuspectCrashes && isSettled
+        && mayProbe(crashes_, fingerprint, [this](Fingerprint other) { return isBlocked(other); })) {
+        return SuspectState::Suspect;
     }
-    return standing;
+    return state;
 }
 
-TimePoint CrashStore::latestAgainst(Fingerprint fingerprint) const
+TimePoint CrashStore::latestCrash(Fingerprint fingerprint) const
 {
-    return evidenceAgainst(crashes_, fingerprint, [this](Fingerprint other) { return isConvicted(other); }).latest;
+    return evidenceAgainst(crashes_, fingerprint, [this](Fingerprint other) { return isBlocked(other); }).latest;
 }
 
-bool CrashStore::isConvicted(Fingerprint fingerprint) const
+bool CrashStore::isBlocked(Fingerprint fingerprint) const
 {
-    return convictedUntil_.contains(fingerprint);
+    return blockedUntil_.contains(fingerprint);
 }
 
 std::optional<TimePoint> CrashStore::crashedAt(const std::string &instance) const
@@ -163,16 +165,16 @@
 
 void CrashStore::expire(TimePoint now)
 {
-    std::erase_if(crashes_, [&](const Crash &crash) { return now - crash.at > RememberFor; });
-    std::erase_if(convictedUntil_, [&](const auto &entry) { return entry.second <= now; });
+    std::erase_if(crashes_, [&](const Crash &crash) { return now - crash.at > CrashRetention; });
+    std::erase_if(blockedUntil_, [&](const auto &entry) { return entry.second <= now; });
     if (crashes_.empty()) {
-        earlyClears_.clear();
+        furthestPositions_.clear();
     }
 }
 
 bool CrashStore::empty() const
 {
-    return crashes_.empty() && convictedUntil_.empty();
+    return crashes_.empty() && blockedUntil_.empty();
 }
 
 std::size_t CrashStore::crashes() const
--- a/src/suspects/internal/newsformat.cpp
+++ b/src/suspects/internal/crashupdateformat.cpp
@@ -1,4 +1,4 @@
-#include "suspects/newsformat.h"
+#include "suspects/crashupdateformat.h"
 
 #include "suspects/suspects.pb.h"
 
@@ -21,57 +21,57 @@
 
 } // namespace
 
-std::string writeNews(const News &news, WallTime now)
+std::string writeCrashUpdate(const CrashUpdate &update, WallTime now)
 {
     wire::News out;
     out.set_written_at_us(static_cast<std::uint64_t>(now.time_since_epoch().count()));
-    for (const News::CrashReport &crash : news.crashes) {
+    for (const CrashUpdate::CrashReport &crash : update.crashes) {
         wire::CrashReport &report = *out.add_crashes();
         report.set_instance(crash.instance);
         report.set_age_us(static_cast<std::uint64_t>(crash.age.count()));
-        for (const Progress &progress : crash.present) {
+        for (const Progress &progress : crash.inFlight) {
             writeProgress(progress, *report.add_present());
         }
     }
-    for (const Progress &progress : news.cleared) {
+    for (const Progress &progress : update.cleared) {
         writeProgress(progress, *out.add_cleared());
     }
-    for (const std::string &instance : news.alive) {
+    for (const std::string &instance : update.alive) {
         out.add_alive(instance);
     }
-    for (const News::Conviction &conviction : news.convictions) {
-        wire::Conviction &one = *out.add_convictions();
-        one.set_fingerprint(conviction.fingerprint);
-        one.set_left_us(static_cast<std::uint64_t>(conviction.left.count()));
+    for (const CrashUpdate::BlockedRequest &request : update.blocked) {
+        wire::Conviction &conviction = *out.add_convictions();
+        conviction.set_fingerprint(request.fingerprint);
+        conviction.set_left_us(static_cast<std::uint64_t>(request.remaining.count()));
     }
     return out.SerializeAsString();
 }
 
-std::optional<News> readNews(std::string_view payload, WallTime now)
+std::optional<CrashUpdate> readCrashUpdate(std::string_view payload, WallTime now)
 {
     wire::News in;
     if (!in.ParseFromArray(payload.data(), static_cast<int>(payload.size()))) {
         return std::nullopt;
     }
     const WallTime writtenAt(readDuration(in.written_at_us()));
-    // NOTE Clocks of VMs differ: a time ahead of ours counts as now.
+    // NOTE The clocks of the VMs differ: a time of writing in the future is taken as now.
     const Duration sinceWritten = std::max(Duration(0), now - writtenAt);
-    News news;
+    CrashUpdate update;
     for (const wire::CrashReport &report : in.crashes()) {
-        News::CrashReport crash{report.instance(), readDuration(report.age_us()) + sinceWritten, {}};
+        CrashUpdate::CrashReport crash{report.instance(), readDuration(report.age_us()) + sinceWritten, {}};
         for (const wire::Progress &progress : report.present()) {
-            crash.present.push_back({progress.fingerprint(), progress.position()});
+            crash.inFlight.push_back({progress.fingerprint(), progress.position()});
         }
-        news.crashes.push_back(std::move(crash));
+        update.crashes.push_back(std::move(crash));
     }
     for (const wire::Progress &progress : in.cleared()) {
-        news.cleared.push_back({progress.fingerprint(), progress.position()});
+        update.cleared.push_back({progress.fingerprint(), progress.position()});
     }
-    news.alive.assign(in.alive().begin(), in.alive().end());
+    update.alive.assign(in.alive().begin(), in.alive().end());
     for (const wire::Conviction &conviction : in.convictions()) {
-        news.convictions.push_back({conviction.fingerprint(), readDuration(conviction.left_us()) - sinceWritten});
+        update.blocked.push_back({conviction.fingerprint(), readDuration(conviction.left_us()) - sinceWritten});
     }
-    return news;
+    return update;
 }
 
 } // namespace cardamomlift::suspects
--- a/src/suspects/internal/suspecttracker.cpp
+++ b/src/suspects/internal/suspecttracker.cpp
@@ -2,7 +2,7 @@
 
 #include "kernel/log.h"
 #include "suspects/crashevidence.h"
-#include "suspects/newsformat.h"
+#include "suspects/crashupdateformat.h"
 
 #include <fmt/format.h>
 
@@ -14,11 +14,12 @@
 namespace {
 
 constexpr char Topic[] = "suspects";
-constexpr Duration FlushAfter = std::chrono::milliseconds(20);
+constexpr Duration FlushDelay = std::chrono::milliseconds(20);
 constexpr Duration ExpirePeriod = std::chrono::seconds(10);
-/// A token this long after a crash was not still on its way: the server lives.
-constexpr Duration AliveAfter = std::chrono::milliseconds(500);
-constexpr Duration OneReport = std::chrono::seconds(5);
+/// A token received this long after a crash was not in transit when the server crashed: the server is alive.
+constexpr Duration AliveMargin = std::chrono::milliseconds(500);
+/// Minimum time between two reports by this VM about the same server.
+constexpr Duration ReportInterval = std::chrono::seconds(5);
 
 template<class T>
 void append(std::vector<T> &to, const std::vector<T> &from)
@@ -40,7 +41,7 @@
     });
     tracker->tools_.members->onChange([weak] {
         if (const auto self = weak.lock()) {
-            self->onMembers();
+            self->onMembersChanged();
         }
     });
     tracker->tools_.loop->every(ExpirePeriod, [weak] {
@@ -56,35 +57,35 @@
     return store_;
 }
 
-void SuspectTracker::onCrashTold(std::function<void(const std::string &instance)> handler)
+void SuspectTracker::onRemoteCrash(std::function<void(const std::string &instance)> handler)
 {
-    crashTold_ = std::move(handler);
+    remoteCrashHandler_ = std::move(handler);
 }
 
 bool SuspectTracker::isSettled(Fingerprint fingerprint) const
 {
-    return store_.empty() || tools_.loop->now() - store_.latestAgainst(fingerprint) >= SettleTime;
+    return store_.empty() || tools_.loop->now() - store_.latestCrash(fingerprint) >= ReportSettleTime;
 }
 
-Standing SuspectTracker::standing(Fingerprint fingerprint, std::size_t own)
+SuspectState SuspectTracker::stateOf(Fingerprint fingerprint, std::size_t ownCopies)
 {
     if (store_.empty()) {
-        return Standing::Trusted;
+        return SuspectState::Trusted;
     }
     const TimePoint now = tools_.loop->now();
-    const Standing standing = store_.standing(fingerprint, now);
-    if (standing == Standing::Convicted && store_.convict(fingerprint, now + RememberFor)) {
+    const SuspectState state = store_.stateOf(fingerprint, now);
+    if (state == SuspectState::Blocked && store_.block(fingerprint, now + CrashRetention)) {
         partLogger("suspects")->warn("A request crashes servers and is refused from now on. fingerprint={:016x}", fingerprint);
         tools_.metrics->add("convicted_requests_total");
-        News news;
-        news.convictions.push_back({fingerprint, RememberFor});
-        tell(std::move(news));
+        CrashUpdate update;
+        update.blocked.push_back({fingerprint, CrashRetention});
+        queueUpdate(std::move(update));
     }
-    if (standing != Standing::Suspect) {
-        return standing;
+    if (state != SuspectState::Suspect) {
+        return state;
     }
     const auto copies = std::count_if(attempts_.begin(), attempts_.end(), [&](const auto &entry) { return entry.second.fingerprint == fingerprint; });
-    return static_cast<std::size_t>(copies) > own ? Standing::Undecided : Standing::Suspect;
+    return static_cast<std::size_t>(copies) > ownCopies ? SuspectState::Undecided : SuspectState::Suspect;
 }
 
 std::vector<std::string> SuspectTracker::serversWithSuspects() const
@@ -109,7 +110,7 @@
     attempt.fingerprint = fingerprint;
     attempt.startedAt = tools_.loop->now();
     attempt.position = position;
-    attempt.isSuspect = !store_.empty() && store_.clearedFrom(fingerprint).has_value();
+    attempt.isSuspect = !store_.empty() && store_.clearingPosition(fingerprint).has_value();
     return id;
 }
 
@@ -124,23 +125,23 @@
     if (store_.empty()) {
         return;
     }
-    if (attempt.seenVersion != store_.version()) {
-        attempt.seenVersion = store_.version();
-        attempt.clearedFrom = store_.clearedFrom(attempt.fingerprint).value_or(WholeAnswer);
+    if (attempt.storeVersion != store_.version()) {
+        attempt.storeVersion = store_.version();
+        attempt.clearingPosition = store_.clearingPosition(attempt.fingerprint).value_or(CompleteAnswer);
         const auto crashedAt = store_.crashedAt(attempt.instance);
-        attempt.checksServer = crashedAt && attempt.startedAt < *crashedAt;
+        attempt.mayRetractCrash = crashedAt && attempt.startedAt < *crashedAt;
     }
-    if (position >= attempt.clearedFrom) {
+    if (position >= attempt.clearingPosition) {
         attempt.isSuspect = false;
         clear({attempt.fingerprint, position});
     }
-    if (attempt.checksServer && tools_.loop->now() - *store_.crashedAt(attempt.instance) >= AliveAfter) {
-        // A token of an attempt from before the crash: only some connections broke, not the server.
-        attempt.checksServer = false;
+    if (attempt.mayRetractCrash && tools_.loop->now() - *store_.crashedAt(attempt.instance) >= AliveMargin) {
+        // An attempt from before the crash still receives tokens: only some connections broke, and the server is alive.
+        attempt.mayRetractCrash = false;
         store_.retract(attempt.instance);
-        News news;
-        news.alive.push_back(attempt.instance);
-        tell(std::move(news));
+        CrashUpdate update;
+        update.alive.push_back(attempt.instance);
+        queueUpdate(std::move(update));
     }
 }
 
@@ -151,38 +152,38 @@
         return;
     }
     const Attempt attempt = found->second;
-    if (outcome == AttemptOutcome::Broken) {
-        serverBroke(attempt.instance);
+    if (outcome == AttemptOutcome::ConnectionBroken) {
+        connectionBroken(attempt.instance);
     }
     attempts_.erase(id);
-    if (outcome == AttemptOutcome::Whole && !store_.empty()) {
-        clear({attempt.fingerprint, WholeAnswer});
+    if (outcome == AttemptOutcome::Completed && !store_.empty()) {
+        clear({attempt.fingerprint, CompleteAnswer});
     }
 }
 
-void SuspectTracker::serverBroke(const std::string &instance)
+void SuspectTracker::connectionBroken(const std::string &instance)
 {
     const TimePoint now = tools_.loop->now();
     const auto reported = reported_.find(instance);
-    const bool isReported = reported != reported_.end() && now - reported->second < OneReport;
+    const bool isReported = reported != reported_.end() && now - reported->second < ReportInterval;
     if (isReported || tools_.members->isLeaving(instance)) {
         return;
     }
-    std::erase_if(reported_, [now](const auto &entry) { return now - entry.second >= OneReport; });
+    std::erase_if(reported_, [now](const auto &entry) { return now - entry.second >= ReportInterval; });
     reported_[instance] = now;
-    News::CrashReport report{instance, Duration(0), {}};
+    CrashUpdate::CrashReport report{instance, Duration(0), {}};
     for (const auto &[id, attempt] : attempts_) {
         if (attempt.instance == instance) {
-            report.present.push_back({attempt.fingerprint, attempt.position});
+            report.inFlight.push_back({attempt.fingerprint, attempt.position});
         }
     }
-    partLogger("suspects")->info("A server broke its connections. server={} requests={}", instance, report.present.size());
+    partLogger("suspects")->info("Connections to a server broke; assuming a crash. server={} requests={}", instance, report.inFlight.size());
     tools_.metrics->add("server_crashes_seen_total");
-    store_.addCrash(instance, now, report.present);
-    News news;
-    news.crashes.push_back(std::move(report));
-    tell(std::move(news));
-    // At once: the same request may come to another VM within milliseconds.
+    store_.addCrash(instance, now, report.inFlight);
+    CrashUpdate update;
+    update.crashes.push_back(std::move(report));
+    queueUpdate(std::move(update));
+    // Sent without FlushDelay: the same request may reach another VM within milliseconds.
     flush();
 }
 
@@ -191,18 +192,18 @@
     if (!store_.clear(progress)) {
         return;
     }
-    News news;
-    news.cleared.push_back(progress);
-    tell(std::move(news));
+    CrashUpdate update;
+    update.cleared.push_back(progress);
+    queueUpdate(std::move(update));
 }
 
-void SuspectTracker::onMembers()
+void SuspectTracker::onMembersChanged()
 {
     if (store_.empty()) {
         return;
     }
     for (const std::string &instance : store_.crashedInstances()) {
-        // The notice came after the break: it was reclaimed.
+        // The reclaim notice arrived after the connections broke: the server was reclaimed and did not crash.
         if (tools_.members->isLeaving(instance)) {
             store_.retract(instance);
         }
@@ -211,48 +212,48 @@
 
 void SuspectTracker::onRumour(const membership::Rumour &rumour)
 {
-    const auto news = readNews(rumour.payload, tools_.loop->clock().wallNow());
-    if (!news) {
-        partLogger("suspects")->warn("A rumour can't be read. key={}", rumour.key);
+    const auto update = readCrashUpdate(rumour.payload, tools_.loop->clock().wallNow());
+    if (!update) {
+        partLogger("suspects")->warn("Malformed crash update ignored. key={}", rumour.key);
         return;
     }
-    merge(*news);
+    merge(*update);
 }
 
-void SuspectTracker::merge(const News &news)
+void SuspectTracker::merge(const CrashUpdate &update)
 {
     const TimePoint now = tools_.loop->now();
-    for (const News::CrashReport &crash : news.crashes) {
-        const bool isNews = !tools_.members->isLeaving(crash.instance) && store_.addCrash(crash.instance, now - crash.age, crash.present);
-        if (isNews && crashTold_) {
-            crashTold_(crash.instance);
+    for (const CrashUpdate::CrashReport &crash : update.crashes) {
+        const bool isChanged = !tools_.members->isLeaving(crash.instance) && store_.addCrash(crash.instance, now - crash.age, crash.inFlight);
+        if (isChanged && remoteCrashHandler_) {
+            remoteCrashHandler_(crash.instance);
         }
     }
-    for (const Progress &progress : news.cleared) {
+    for (const Progress &progress : update.cleared) {
         store_.clear(progress);
     }
-    for (const std::string &instance : news.alive) {
+    for (const std::string &instance : update.alive) {
         store_.retract(instance);
     }
-    for (const News::Conviction &conviction : news.convictions) {
-        store_.convict(conviction.fingerprint, now + std::min(conviction.left, RememberFor));
+    for (const CrashUpdate::BlockedRequest &request : update.blocked) {
+        store_.block(request.fingerprint, now + std::min(request.remaining, CrashRetention));
     }
 }
 
-void SuspectTracker::tell(News news)
+void SuspectTracker::queueUpdate(CrashUpdate update)
 {
-    if (news.empty()) {
+    if (update.empty()) {
         return;
     }
-    append(outgoing_.crashes, news.crashes);
-    append(outgoing_.cleared, news.cleared);
-    append(outgoing_.alive, news.alive);
-    append(outgoing_.convictions, news.convictions);
-    if (flushPlanned_) {
+    append(pendingUpdate_.crashes, update.crashes);
+    append(pendingUpdate_.cleared, update.cleared);
+    append(pendingUpdate_.alive, update.alive);
+    append(pendingUpdate_.blocked, update.blocked);
+    if (isFlushScheduled_) {
         return;
     }
-    flushPlanned_ = true;
-    tools_.loop->after(FlushAfter, [weak = weak_from_this()] {
+    isFlushScheduled_ = true;
+    tools_.loop->after(FlushDelay, [weak = weak_from_this()] {
         if (const auto self = weak.lock()) {
             self->flush();
         }
@@ -261,15 +262,15 @@
 
 void SuspectTracker::flush()
 {
-    flushPlanned_ = false;
-    if (outgoing_.empty()) {
+    isFlushScheduled_ = false;
+    if (pendingUpdate_.empty()) {
         return;
     }
     const WallTime now = tools_.loop->clock().wallNow();
-    // NOTE The time is part of the key: a VM that restarts under its name must not find its key known.
+    // NOTE The key includes the time: after a restart under the same name a VM must not reuse a key that its peers already know.
     const std::string key = fmt::format("{}/{}", tools_.members->self(), now.time_since_epoch().count());
     tools_.metrics->add("suspects_rumours_total");
-    tools_.gossip->publish(Topic, key, 1, writeNews(std::exchange(outgoing_, {}), now), RememberFor);
+    tools_.gossip->publish(Topic, key, 1, writeCrashUpdate(std::exchange(pendingUpdate_, {}), now), CrashRetention);
 }
 
 } // namespace cardamomlift::suspects
--- a/src/suspects/suspecttracker.h
+++ b/src/suspects/suspecttracker.h
@@ -14,14 +14,14 @@
 
 using AttemptId = std::uint64_t;
 
-/// How an attempt ended, as far as crashes go.
+/// How an attempt ended, as far as it matters for crash detection.
 enum class AttemptOutcome {
-    Whole, ///< The answer came whole.
-    Broken, ///< The connection broke after the request was sent.
-    Other, ///< Refused, cancelled, never sent.
+    Completed, ///< The answer was received completely.
+    ConnectionBroken, ///< The connection broke after the request was sent.
+    Other, ///< The request was refused, cancelled or never sent.
 };
 
-/// What a tracker works with.
+/// Dependencies of SuspectTracker.
 struct TrackerTools {
     EventLoop *loop = nullptr;
     std::shared_ptr<membership::Members> members;
@@ -29,28 +29,29 @@
     std::shared_ptr<metrics::Metrics> metrics;
 };
 
-/// Sees which requests are in flight where, tells crashes from other ends, and shares both with the other entry VMs.
+/// Tracks which requests are in flight on which servers, detects crashes of servers, and gossips crashes and the progress of
+/// suspects to the other entry VMs.
 class SuspectTracker : public std::enable_shared_from_this<SuspectTracker>
 {
 public:
     static std::shared_ptr<SuspectTracker> create(TrackerTools tools);
 
-    /// How a request may run now. Undecided also while another copy of a suspect runs on this VM; @p own of those that run
-    /// belong to the request itself.
-    Standing standing(Fingerprint fingerprint, std::size_t own = 0);
-    /// Whether the last crash that speaks against it is long enough ago for all VMs to know of it.
+    /// How a request may run now. Also Undecided while another copy of a suspect runs on this VM; @p ownCopies of the running
+    /// copies are attempts of the request itself.
+    SuspectState stateOf(Fingerprint fingerprint, std::size_t ownCopies = 0);
+    /// Whether the latest crash that the request may have caused is long enough ago for all VMs to know of it.
     bool isSettled(Fingerprint fingerprint) const;
-    /// Servers where a suspect runs for this VM: others keep away, where possible.
+    /// Servers on which this VM runs a suspect. Other requests avoid them where possible.
     std::vector<std::string> serversWithSuspects() const;
 
     AttemptId started(const std::string &instance, Fingerprint fingerprint, std::uint64_t position);
-    /// The answer has @p position tokens now.
+    /// The answer now has @p position tokens.
     void progressed(AttemptId attempt, std::uint64_t position);
-    /// A connection to @p instance broke after requests were sent there: it may have crashed.
-    void serverBroke(const std::string &instance);
+    /// A connection to @p instance broke after requests had been sent on it, so the server may have crashed.
+    void connectionBroken(const std::string &instance);
     void finished(AttemptId attempt, AttemptOutcome outcome);
-    /// Calls @p handler with each server that another VM saw crash.
-    void onCrashTold(std::function<void(const std::string &instance)> handler);
+    /// Calls @p handler with each server for which another VM reports a crash.
+    void onRemoteCrash(std::function<void(const std::string &instance)> handler);
     const CrashStore &store() const;
 
 private:
@@ -60,24 +61,24 @@
         TimePoint startedAt;
         std::uint64_t position = 0;
         bool isSuspect = false;
-        std::uint64_t seenVersion = 0;
-        std::uint64_t clearedFrom = 0;
-        bool checksServer = false;
+        std::uint64_t storeVersion = 0;
+        std::uint64_t clearingPosition = 0;
+        bool mayRetractCrash = false;
     };
     SuspectTracker() = default;
-    void onMembers();
+    void onMembersChanged();
     void clear(const Progress &progress);
     void onRumour(const membership::Rumour &rumour);
-    void merge(const News &news);
-    void tell(News news);
+    void merge(const CrashUpdate &update);
+    void queueUpdate(CrashUpdate update);
     void flush();
     TrackerTools tools_;
     CrashStore store_;
     std::unordered_map<AttemptId, Attempt> attempts_;
-    std::map<std::string, TimePoint> reported_; ///< Crashes this VM has reported itself.
-    std::function<void(const std::string &)> crashTold_;
-    News outgoing_;
-    bool flushPlanned_ = false;
+    std::map<std::string, TimePoint> reported_; ///< Latest crash reports by this VM, by instance.
+    std::function<void(const std::string &)> remoteCrashHandler_;
+    CrashUpdate pendingUpdate_;
+    bool isFlushScheduled_ = false;
     AttemptId nextAttempt_ = 1;
 };
 
--- a/src/suspects/suspecttypes.h
+++ b/src/suspects/suspecttypes.h
@@ -9,68 +9,70 @@
 
 namespace cardamomlift::suspects {
 
-/// Identity of what a request asks for, without its key: the same on every VM and for every repeat.
+/// Hash of customer, target and body of a request, without its idempotency key: equal on every VM and for every repeat.
 using Fingerprint = std::uint64_t;
 
 Fingerprint fingerprintOf(std::string_view customer, std::string_view target, std::string_view body);
 
-/// A request that was in flight at a server when it crashed.
-struct Presence {
+/// A request that was in flight on a server when it crashed.
+struct InFlightRequest {
     Fingerprint fingerprint = 0;
-    std::uint64_t position = 0; ///< Tokens of its answer that had come by then.
-    bool cleared = false; ///< It went on elsewhere since: it is not the cause.
+    std::uint64_t position = 0; ///< Tokens of its answer received by then.
+    bool cleared = false; ///< It has progressed on another server since, so it is not the cause.
 };
 
-/// One server that broke its connections without being announced as leaving.
+/// A crash of a server, seen as broken connections of a server that had not been announced as leaving.
 struct Crash {
     std::string instance;
     TimePoint at;
-    std::vector<Presence> present; ///< Of all VMs that reported this crash.
+    std::vector<InFlightRequest> inFlight; ///< Merged from the reports of all VMs.
 };
 
-/// What the crashes say about one request.
+/// Crashes of which one request may be the cause.
 struct CrashEvidence {
-    std::size_t crashes = 0; ///< Where it was present, is not cleared, and no convicted request was.
-    std::size_t onlyCause = 0; ///< Of these, where all others present are cleared.
-    TimePoint latest; ///< Of these.
+    std::size_t crashes = 0; ///< Crashes with the request in flight and not cleared, and without a blocked request.
+    std::size_t soleSuspectCrashes = 0; ///< Those of them for which all other requests in flight are cleared.
+    TimePoint latest; ///< Time of the latest of these crashes.
 };
 
-/// How a request may run, from what is known of it.
-enum class Standing {
-    Trusted, ///< Like any other.
-    Suspect, ///< Was at a crash: runs where few others are, one copy at a time.
-    Undecided, ///< Was at as many crashes as are allowed, and others may be the cause: it waits.
-    Convicted, ///< It crashes servers: refused.
+/// How a request may run, given the crashes it was in flight at.
+enum class SuspectState {
+    Trusted, ///< No restriction.
+    Suspect, ///< It was in flight at a crash: runs on a server with few other requests, one copy at a time.
+    Undecided, ///< It was in flight at MaxCrashes or more, and it is not clear yet whether it is the cause: has to wait.
+    Blocked, ///< It crashes servers and is refused. Called convicted on the wire and in metrics.
 };
 
-/// A request that went on: all up to @p position was made without a crash.
+/// Progress of a request: its answer was generated up to @c position without a crash.
 struct Progress {
     Fingerprint fingerprint = 0;
     std::uint64_t position = 0;
 };
 
-/// The position of an answer that is whole.
-inline constexpr std::uint64_t WholeAnswer = UINT64_MAX;
+/// The position of a complete answer.
+inline constexpr std::uint64_t CompleteAnswer = UINT64_MAX;
 
-/// What VMs tell each other about crashes. Times are ages, for there is no common clock.
-struct News {
+/// Changes to the known crashes, as VMs send them to each other (wire::News). Times are sent as ages, because the clocks of
+/// the VMs differ.
+struct CrashUpdate {
     struct CrashReport {
         std::string instance;
         Duration age{0};
-        std::vector<Progress> present; ///< How far each was.
+        std::vector<Progress> inFlight; ///< Requests in flight with their positions.
     };
-    struct Conviction {
+    /// A request to be refused (wire::Conviction).
+    struct BlockedRequest {
         Fingerprint fingerprint = 0;
-        Duration left{0};
+        Duration remaining{0};
     };
     std::vector<CrashReport> crashes;
     std::vector<Progress> cleared;
     std::vector<std::string> alive; ///< Servers that were reported as crashed and still answer.
-    std::vector<Conviction> convictions;
+    std::vector<BlockedRequest> blocked;
 
     bool empty() const
     {
-        return crashes.empty() && cleared.empty() && alive.empty() && convictions.empty();
+        return crashes.empty() && cleared.empty() && alive.empty() && blocked.empty();
     }
 };
 
