--- a/src/admission/admission.h
+++ b/src/admission/admission.h
@@ -1,10 +1,10 @@
 #pragma once
 
 #include "admission/admissiontypes.h"
-#include "admission/roomrules.h"
+#include "admission/concurrencylimit.h"
 #include "admission/waitqueue.h"
 #include "kernel/eventloop.h"
-#include "limits/limitkeeper.h"
+#include "limits/customerlimiter.h"
 #include "metrics/metrics.h"
 #include "spending/spendingkeeper.h"
 
@@ -21,7 +21,7 @@
 struct AdmissionTools {
     EventLoop *loop = nullptr;
     std::size_t maxOpen = 0; ///< Requests held at once, waiting ones too.
-    std::shared_ptr<limits::LimitKeeper> limits;
+    std::shared_ptr<limits::CustomerLimiter> limits;
     std::shared_ptr<spending::SpendingKeeper> spending;
     std::shared_ptr<metrics::Metrics> metrics; ///< May be null.
 };
@@ -34,36 +34,36 @@
     static std::shared_ptr<Admission> create(AdmissionTools tools);
 
     /// @p handler is called once, perhaps from inside this call.
-    void ask(AdmissionQuestion question, DecisionHandler handler);
+    void requestAdmission(AdmissionParameters parameters, DecisionHandler handler);
     /// The first token of an admitted model request has come. Optional; once.
-    void firstToken(std::uint64_t ticket);
+    void onFirstToken(std::uint64_t ticket);
     /// Ends an admitted request. Call once for each ticket.
     void release(std::uint64_t ticket, const Usage &usage);
     /// Requests that run.
-    std::size_t open() const;
-    std::size_t waiting() const;
+    std::size_t openRequests() const;
+    std::size_t waitingRequests() const;
 
 private:
     struct Request;
     using RequestPtr = std::shared_ptr<Request>;
     struct Target {
-        Room room;
+        ConcurrencyLimit concurrency;
         WaitQueue queue;
     };
     Admission() = default;
-    Target &targetOf(const AdmissionQuestion &question);
-    bool refuseAtOnce(const RequestPtr &request);
-    void takeLimits(const RequestPtr &request);
+    Target &targetOf(const AdmissionParameters &parameters);
+    bool refuseEarly(const RequestPtr &request);
+    void acquireLimits(const RequestPtr &request);
     void reserveSpending(const RequestPtr &request);
-    void enterRoom(const RequestPtr &request);
-    void waitForRoom(const RequestPtr &request);
+    void admitOrQueue(const RequestPtr &request);
+    void queueRequest(const RequestPtr &request);
     void admit(const RequestPtr &request);
-    void serve(Target &target);
+    void admitWaiting(Target &target);
     void refuse(const RequestPtr &request, metrics::RefusalReason reason, Duration retryAfter);
-    void giveBack(const RequestPtr &request);
+    void returnReservations(const RequestPtr &request);
     AdmissionTools tools_;
     std::uint64_t nextTicket_ = 1;
-    std::size_t asked_ = 0; ///< Asked and not yet decided.
+    std::size_t undecided_ = 0; ///< Asked and not yet decided.
     std::map<std::string, Target, std::less<>> targets_;
     std::unordered_map<std::uint64_t, RequestPtr> open_;
     std::unordered_map<std::uint64_t, RequestPtr> waiting_;
--- a/src/admission/admissionmodule.cpp
+++ b/src/admission/admissionmodule.cpp
@@ -25,12 +25,12 @@
         AdmissionTools tools;
         tools.loop = context.get<Runtime>()->loop;
         tools.maxOpen = context.get<settings::Settings>()->limits.openRequests;
-        tools.limits = context.get<limits::LimitKeeper>();
+        tools.limits = context.get<limits::CustomerLimiter>();
         tools.spending = context.get<spending::SpendingKeeper>();
         tools.metrics = context.get<metrics::Metrics>();
         auto admission = Admission::create(std::move(tools));
-        context.get<metrics::Metrics>()->gauge("admission_waiting", [admission] { return static_cast<double>(admission->waiting()); });
-        context.get<metrics::Metrics>()->gauge("admission_open", [admission] { return static_cast<double>(admission->open()); });
+        context.get<metrics::Metrics>()->gauge("admission_waiting", [admission] { return static_cast<double>(admission->waitingRequests()); });
+        context.get<metrics::Metrics>()->gauge("admission_open", [admission] { return static_cast<double>(admission->openRequests()); });
         context.set(admission);
         return success();
     }
--- a/src/admission/admissiontypes.h
+++ b/src/admission/admissiontypes.h
@@ -12,15 +12,15 @@
 namespace cardamomlift::admission {
 
 /// One request that asks to be let in.
-struct AdmissionQuestion {
+struct AdmissionParameters {
     std::shared_ptr<const contract::ContractInForce> contract;
     contract::ServiceClass serviceClass;
     std::string target; ///< Model or service name.
     bool isModel = true;
     std::int64_t estimatedTokens = 0; ///< Prompt plus the most output; what is reserved of tokensPerMinute.
     /// What the request can't pass, for the spending bound: no tokenizer makes more tokens of a text than it has bytes.
-    std::int64_t mostPromptTokens = 0;
-    std::int64_t mostOutputTokens = 0;
+    std::int64_t maxPromptTokens = 0;
+    std::int64_t maxOutputTokens = 0;
 };
 
 /// What a request used, told when it ends.
@@ -28,7 +28,7 @@
     std::int64_t promptTokens = 0;
     std::int64_t outputTokens = 0;
     bool ran = false; ///< False: nothing is charged.
-    bool goesOnElsewhere = false; ///< Another VM drives the request now: charged at its worst case.
+    bool continuesOnPeer = false; ///< Another VM drives the request now: charged at its worst case.
 };
 
 /// Whether a request comes in, and if not, why.
--- a/src/admission/internal/admission.cpp
+++ b/src/admission/internal/admission.cpp
@@ -12,54 +12,54 @@
 constexpr std::string_view ModelPrefix = "model:";
 constexpr std::string_view ServicePrefix = "service:";
 
-spending::Micros costOf(const AdmissionQuestion &question, const Usage &usage)
+spending::Micros costOf(const AdmissionParameters &parameters, const Usage &usage)
 {
-    const contract::Spending &prices = question.contract->contract.spending;
+    const contract::Spending &prices = parameters.contract->contract.spending;
     if (!usage.ran) {
         return 0;
     }
-    if (!question.isModel) {
+    if (!parameters.isModel) {
         return spending::callCost(prices, 1);
     }
     // A stream that was cut off early never told its prompt's tokens: then the most they can be.
-    const std::int64_t prompt = usage.promptTokens > 0 ? usage.promptTokens : question.mostPromptTokens;
+    const std::int64_t prompt = usage.promptTokens > 0 ? usage.promptTokens : parameters.maxPromptTokens;
     return spending::tokenCost(prices, prompt + usage.outputTokens);
 }
 
 /// Of tokensPerMinute.
-std::int64_t usedTokens(const AdmissionQuestion &question, const Usage &usage)
+std::int64_t chargedTokens(const AdmissionParameters &parameters, const Usage &usage)
 {
-    if (usage.goesOnElsewhere) {
-        return question.estimatedTokens;
+    if (usage.continuesOnPeer) {
+        return parameters.estimatedTokens;
     }
     return usage.ran ? usage.promptTokens + usage.outputTokens : 0;
 }
 
-spending::Micros worstCost(const AdmissionQuestion &question)
+spending::Micros maxCost(const AdmissionParameters &parameters)
 {
-    return costOf(question, {question.mostPromptTokens, question.mostOutputTokens, true});
+    return costOf(parameters, {parameters.maxPromptTokens, parameters.maxOutputTokens, true});
 }
 
-bool isDeferrable(const AdmissionQuestion &question)
+bool isDeferrable(const AdmissionParameters &parameters)
 {
-    return question.serviceClass.priority == contract::Priority::Deferrable;
+    return parameters.serviceClass.priority == contract::Priority::Deferrable;
 }
 
-Duration waitUpTo(const AdmissionQuestion &question)
+Duration waitUpTo(const AdmissionParameters &parameters)
 {
-    return std::chrono::milliseconds(question.serviceClass.waitUpToMs);
+    return std::chrono::milliseconds(parameters.serviceClass.waitUpToMs);
 }
 
-LatencyTargets targetsOf(const AdmissionQuestion &question)
+LatencyTargets latencyTargetsOf(const AdmissionParameters &parameters)
 {
-    return {std::chrono::milliseconds(question.serviceClass.firstTokenMs), std::chrono::milliseconds(question.serviceClass.betweenTokensMs)};
+    return {std::chrono::milliseconds(parameters.serviceClass.firstTokenMs), std::chrono::milliseconds(parameters.serviceClass.betweenTokensMs)};
 }
 
 } // namespace
 
 /// One request, from ask() to its refusal or release.
 struct Admission::Request {
-    AdmissionQuestion question;
+    AdmissionParameters parameters;
     DecisionHandler handler;
     std::uint64_t ticket = 0;
     spending::Reservation reservation;
@@ -77,69 +77,69 @@
     return admission;
 }
 
-Admission::Target &Admission::targetOf(const AdmissionQuestion &question)
+Admission::Target &Admission::targetOf(const AdmissionParameters &parameters)
 {
-    const std::string name = std::string(question.isModel ? ModelPrefix : ServicePrefix) + question.target;
+    const std::string name = std::string(parameters.isModel ? ModelPrefix : ServicePrefix) + parameters.target;
     const auto [target, isNew] = targets_.try_emplace(name);
     if (isNew) {
-        target->second.room = startRoom(tools_.loop->now());
+        target->second.concurrency = initialConcurrencyLimit(tools_.loop->now());
     }
     return target->second;
 }
 
-void Admission::ask(AdmissionQuestion question, DecisionHandler handler)
+void Admission::requestAdmission(AdmissionParameters parameters, DecisionHandler handler)
 {
     auto request = std::make_shared<Request>();
-    request->question = std::move(question);
+    request->parameters = std::move(parameters);
     request->handler = std::move(handler);
     request->ticket = nextTicket_++;
-    asked_++;
-    if (!refuseAtOnce(request)) {
-        takeLimits(request);
+    undecided_++;
+    if (!refuseEarly(request)) {
+        acquireLimits(request);
     }
 }
 
 // What can be told before anything of the customer's limits is used.
-bool Admission::refuseAtOnce(const RequestPtr &request)
+bool Admission::refuseEarly(const RequestPtr &request)
 {
-    if (open_.size() + asked_ > tools_.maxOpen) {
+    if (open_.size() + undecided_ > tools_.maxOpen) {
         refuse(request, metrics::RefusalReason::Overloaded, OverloadedRetryAfter);
         return true;
     }
-    const AdmissionQuestion &question = request->question;
-    Target &target = targetOf(question);
-    const std::size_t ahead = countAhead(target.queue, question.serviceClass.priority);
-    if (!isDeferrable(question)) {
-        noteDemand(target.room, ahead, tools_.loop->now());
+    const AdmissionParameters &parameters = request->parameters;
+    Target &target = targetOf(parameters);
+    const std::size_t ahead = countAhead(target.queue, parameters.serviceClass.priority);
+    if (!isDeferrable(parameters)) {
+        recordDemand(target.concurrency, ahead, tools_.loop->now());
     }
-    if (ahead == 0 && hasRoom(target.room, isDeferrable(question))) {
+    if (ahead == 0 && hasCapacity(target.concurrency, isDeferrable(parameters))) {
         return false;
     }
-    const Duration expected = expectedWait(target.room, ahead);
-    if (waitUpTo(question).count() == 0) {
+    const Duration expected = expectedWait(target.concurrency, ahead);
+    if (waitUpTo(parameters).count() == 0) {
         refuse(request, metrics::RefusalReason::Overloaded, std::max(expected, OverloadedRetryAfter));
         return true;
     }
-    if (expected > waitUpTo(question)) {
+    if (expected > waitUpTo(parameters)) {
         refuse(request, metrics::RefusalReason::DeadlineImpossible, expected);
         return true;
     }
     return false;
 }
 
-void Admission::takeLimits(const RequestPtr &request)
+void Admission::acquireLimits(const RequestPtr &request)
 {
     if (!tools_.limits) {
         reserveSpending(request);
         return;
     }
     const std::weak_ptr<Admission> weak = weak_from_this();
-    tools_.limits->take(*request->question.contract, request->question.estimatedTokens, [weak, request](const limits::TakeResult &result) {
+    tools_.limits->acquire(*request->parameters.contract, request->parameters.estimatedTokens, [weak, request](const limits::AcquireResult &result) {
         const auto self = weak.lock();
         if (!self) {
             return;
         }
-        if (!result.taken) {
+        if (!result.acquired) {
             self->refuse(request, result.reason, result.retryAfter);
             return;
         }
@@ -150,78 +150,78 @@
 void Admission::reserveSpending(const RequestPtr &request)
 {
     if (!tools_.spending) {
-        enterRoom(request);
+        admitOrQueue(request);
         return;
     }
     const std::weak_ptr<Admission> weak = weak_from_this();
-    const spending::Micros worst = worstCost(request->question);
-    tools_.spending->reserve(*request->question.contract, worst, [weak, request](const spending::ReserveResult &result) {
+    const spending::Micros amount = maxCost(request->parameters);
+    tools_.spending->reserve(*request->parameters.contract, amount, [weak, request](const spending::ReserveResult &result) {
         const auto self = weak.lock();
         if (!self) {
             return;
         }
         if (result.outcome == spending::ReserveOutcome::Reserved) {
             request->reservation = result.reservation;
-            self->enterRoom(request);
+            self->admitOrQueue(request);
             return;
         }
-        const bool isBound = result.outcome == spending::ReserveOutcome::BoundReached;
-        self->giveBack(request);
-        self->refuse(request, isBound ? metrics::RefusalReason::SpendingBound : metrics::RefusalReason::TableDown, result.retryAfter);
+        const bool isBoundReached = result.outcome == spending::ReserveOutcome::BoundReached;
+        self->returnReservations(request);
+        self->refuse(request, isBoundReached ? metrics::RefusalReason::SpendingBound : metrics::RefusalReason::TableDown, result.retryAfter);
     });
 }
 
-void Admission::enterRoom(const RequestPtr &request)
+void Admission::admitOrQueue(const RequestPtr &request)
 {
-    Target &target = targetOf(request->question);
-    const std::size_t ahead = countAhead(target.queue, request->question.serviceClass.priority);
-    if (ahead == 0 && hasRoom(target.room, isDeferrable(request->question))) {
+    Target &target = targetOf(request->parameters);
+    const std::size_t ahead = countAhead(target.queue, request->parameters.serviceClass.priority);
+    if (ahead == 0 && hasCapacity(target.concurrency, isDeferrable(request->parameters))) {
         admit(request);
         return;
     }
-    waitForRoom(request);
+    queueRequest(request);
 }
 
-void Admission::waitForRoom(const RequestPtr &request)
+void Admission::queueRequest(const RequestPtr &request)
 {
-    const AdmissionQuestion &question = request->question;
-    const TimePoint deadline = tools_.loop->now() + waitUpTo(question);
-    const std::int64_t cost = std::max<std::int64_t>(1, question.estimatedTokens);
-    request->entry = {request->ticket, question.contract->contract.customer, question.serviceClass.priority, deadline, cost};
+    const AdmissionParameters &parameters = request->parameters;
+    const TimePoint deadline = tools_.loop->now() + waitUpTo(parameters);
+    const std::int64_t tokens = std::max<std::int64_t>(1, parameters.estimatedTokens);
+    request->entry = {request->ticket, parameters.contract->contract.customer, parameters.serviceClass.priority, deadline, tokens};
     waiting_[request->ticket] = request;
-    enqueue(targetOf(question).queue, request->entry);
+    enqueue(targetOf(parameters).queue, request->entry);
     const std::weak_ptr<Admission> weak = weak_from_this();
-    request->timer = tools_.loop->after(waitUpTo(question), [weak, request] {
+    request->timer = tools_.loop->after(waitUpTo(parameters), [weak, request] {
         const auto self = weak.lock();
         if (!self) {
             return;
         }
-        Target &target = self->targetOf(request->question);
+        Target &target = self->targetOf(request->parameters);
         removeEntry(target.queue, request->entry);
         self->waiting_.erase(request->ticket);
-        self->giveBack(request);
-        const Duration expected = expectedWait(target.room, countAhead(target.queue, request->question.serviceClass.priority));
+        self->returnReservations(request);
+        const Duration expected = expectedWait(target.concurrency, countAhead(target.queue, request->parameters.serviceClass.priority));
         self->refuse(request, metrics::RefusalReason::DeadlineImpossible, std::max(expected, OverloadedRetryAfter));
     });
 }
 
 void Admission::admit(const RequestPtr &request)
 {
-    Room &room = targetOf(request->question).room;
-    room.inFlight++;
-    room.deferrableInFlight += isDeferrable(request->question) ? 1 : 0;
+    ConcurrencyLimit &concurrency = targetOf(request->parameters).concurrency;
+    concurrency.inFlight++;
+    concurrency.deferrableInFlight += isDeferrable(request->parameters) ? 1 : 0;
     request->admittedAt = tools_.loop->now();
-    noteTargets(room, targetsOf(request->question), request->admittedAt);
+    recordTargets(concurrency, latencyTargetsOf(request->parameters), request->admittedAt);
     open_[request->ticket] = request;
-    asked_--;
+    undecided_--;
     std::exchange(request->handler, nullptr)({true, metrics::RefusalReason::Overloaded, Duration(0), request->ticket});
 }
 
-void Admission::serve(Target &target)
+void Admission::admitWaiting(Target &target)
 {
     while (target.queue.size > 0) {
-        const bool urgent = hasRoom(target.room, false);
-        const auto next = takeNext(target.queue, {urgent, urgent, hasRoom(target.room, true)});
+        const bool hasCapacityForAll = hasCapacity(target.concurrency, false);
+        const auto next = dequeue(target.queue, {hasCapacityForAll, hasCapacityForAll, hasCapacity(target.concurrency, true)});
         if (!next) {
             return;
         }
@@ -229,7 +229,7 @@
         waiting_.erase(next->ticket);
         tools_.loop->cancel(request->timer);
         if (tools_.metrics) {
-            tools_.metrics->observe("admission_wait_seconds", tools_.loop->now() - (next->deadline - waitUpTo(request->question)));
+            tools_.metrics->observe("admission_wait_seconds", tools_.loop->now() - (next->deadline - waitUpTo(request->parameters)));
         }
         admit(request);
     }
@@ -237,22 +237,22 @@
 
 void Admission::refuse(const RequestPtr &request, metrics::RefusalReason reason, Duration retryAfter)
 {
-    asked_--;
+    undecided_--;
     std::exchange(request->handler, nullptr)({false, reason, retryAfter, 0});
 }
 
 // The request never ran: nothing of limits and spending is used but its place in the rate.
-void Admission::giveBack(const RequestPtr &request)
+void Admission::returnReservations(const RequestPtr &request)
 {
     if (tools_.limits) {
-        tools_.limits->release(request->question.contract->contract.customer, request->question.estimatedTokens);
+        tools_.limits->release(request->parameters.contract->contract.customer, request->parameters.estimatedTokens);
     }
     if (tools_.spending) {
         tools_.spending->settle(request->reservation, 0);
     }
 }
 
-void Admission::firstToken(std::uint64_t ticket)
+void Admission::onFirstToken(std::uint64_t ticket)
 {
     const auto found = open_.find(ticket);
     if (found == open_.end() || found->second->hadFirstToken) {
@@ -262,7 +262,7 @@
     request.hadFirstToken = true;
     const TimePoint now = tools_.loop->now();
     request.firstTokenAt = now;
-    noteFirstToken(targetOf(request.question).room, request.admittedAt, now);
+    recordFirstToken(targetOf(request.parameters).concurrency, request.admittedAt, now);
 }
 
 void Admission::release(std::uint64_t ticket, const Usage &usage)
@@ -272,35 +272,35 @@
         return;
     }
     const RequestPtr request = found->second;
-    const AdmissionQuestion &question = request->question;
-    if (!question.isModel && usage.ran) {
-        firstToken(ticket);
+    const AdmissionParameters &parameters = request->parameters;
+    if (!parameters.isModel && usage.ran) {
+        onFirstToken(ticket);
     }
     open_.erase(ticket);
-    Target &target = targetOf(question);
-    target.room.inFlight--;
-    target.room.deferrableInFlight -= isDeferrable(question) ? 1 : 0;
+    Target &target = targetOf(parameters);
+    target.concurrency.inFlight--;
+    target.concurrency.deferrableInFlight -= isDeferrable(parameters) ? 1 : 0;
     const TimePoint now = tools_.loop->now();
-    noteEnd(target.room, now - request->admittedAt, now);
+    recordCompletion(target.concurrency, now - request->admittedAt, now);
     if (request->hadFirstToken && usage.outputTokens > 1) {
-        notePace(target.room, (now - request->firstTokenAt) / (usage.outputTokens - 1), request->admittedAt, now);
+        recordTokenInterval(target.concurrency, (now - request->firstTokenAt) / (usage.outputTokens - 1), request->admittedAt, now);
     }
     if (tools_.limits) {
-        tools_.limits->release(question.contract->contract.customer, question.estimatedTokens - usedTokens(question, usage));
+        tools_.limits->release(parameters.contract->contract.customer, parameters.estimatedTokens - chargedTokens(parameters, usage));
     }
     if (tools_.spending) {
         // NOTE The VM that goes on with a request has no reservation: what it may still use is spent here.
-        tools_.spending->settle(request->reservation, usage.goesOnElsewhere ? request->reservation.micros : costOf(question, usage));
+        tools_.spending->settle(request->reservation, usage.continuesOnPeer ? request->reservation.micros : costOf(parameters, usage));
     }
-    serve(target);
+    admitWaiting(target);
 }
 
-std::size_t Admission::open() const
+std::size_t Admission::openRequests() const
 {
     return open_.size();
 }
 
-std::size_t Admission::waiting() const
+std::size_t Admission::waitingRequests() const
 {
     return waiting_.size();
 }
--- a/src/admission/internal/waitqueue.cpp
+++ b/src/admission/internal/waitqueue.cpp
@@ -9,27 +9,27 @@
     PriorityQueue &priority = queue.priorities[static_cast<std::size_t>(entry.priority)];
     const auto [customer, isNew] = priority.customers.try_emplace(entry.customer);
     if (isNew) {
-        customer->second.served = priority.servedNow;
+        customer->second.startTag = priority.virtualTime;
     }
     customer->second.entries.emplace(entry.deadline, std::move(entry));
     queue.size++;
 }
 
-std::optional<WaitEntry> takeNext(WaitQueue &queue, const std::array<bool, Priorities> &mayServe)
+std::optional<WaitEntry> dequeue(WaitQueue &queue, const std::array<bool, PriorityCount> &isAllowed)
 {
-    for (std::size_t i = 0; i < Priorities; i++) {
+    for (std::size_t i = 0; i < PriorityCount; i++) {
         PriorityQueue &priority = queue.priorities[i];
-        if (!mayServe[i] || priority.customers.empty()) {
+        if (!isAllowed[i] || priority.customers.empty()) {
             continue;
         }
         const auto customer = std::min_element(
-            priority.customers.begin(), priority.customers.end(), [](const auto &a, const auto &b) { return a.second.served < b.second.served; });
-        CustomerQueue &entries = customer->second;
-        WaitEntry entry = std::move(entries.entries.begin()->second);
-        entries.entries.erase(entries.entries.begin());
-        priority.servedNow = entries.served;
-        entries.served += std::max<std::int64_t>(1, entry.cost);
-        if (entries.entries.empty()) {
+            priority.customers.begin(), priority.customers.end(), [](const auto &a, const auto &b) { return a.second.startTag < b.second.startTag; });
+        CustomerQueue &customerQueue = customer->second;
+        WaitEntry entry = std::move(customerQueue.entries.begin()->second);
+        customerQueue.entries.erase(customerQueue.entries.begin());
+        priority.virtualTime = customerQueue.startTag;
+        customerQueue.startTag += std::max<std::int64_t>(1, entry.tokens);
+        if (customerQueue.entries.empty()) {
             priority.customers.erase(customer);
         }
         queue.size--;
--- a/src/admission/waitqueue.h
+++ b/src/admission/waitqueue.h
@@ -17,33 +17,33 @@
     std::string customer;
     contract::Priority priority = contract::Priority::Normal;
     TimePoint deadline; ///< When its wait is over.
-    std::int64_t cost = 1; ///< Its share of the room, in tokens.
+    std::int64_t tokens = 1; ///< Its share of the room, in tokens.
 };
 
-inline constexpr std::size_t Priorities = 3;
+inline constexpr std::size_t PriorityCount = 3;
 
 /// The requests of one customer in one priority, the earliest deadline first.
 struct CustomerQueue {
     std::multimap<TimePoint, WaitEntry> entries;
-    std::int64_t served = 0; ///< Tokens let in so far, as start-time fair queueing counts them.
+    std::int64_t startTag = 0; ///< Tokens let in so far, as start-time fair queueing counts them.
 };
 
 /// The requests of one priority, by customer.
 struct PriorityQueue {
     std::map<std::string, CustomerQueue> customers; ///< Only those with entries.
-    std::int64_t servedNow = 0; ///< Of the customer served last: where a new one starts.
+    std::int64_t virtualTime = 0; ///< Of the customer served last: where a new one starts.
 };
 
 /// The requests that wait for room at one model or service.
 struct WaitQueue {
-    std::array<PriorityQueue, Priorities> priorities;
+    std::array<PriorityQueue, PriorityCount> priorities;
     std::size_t size = 0;
 };
 
 void enqueue(WaitQueue &queue, WaitEntry entry);
 /// The request to let in next: by priority, then the customer that had the fewest tokens, then the earliest deadline.
 /// Priorities for which @p mayServe is false are passed over.
-std::optional<WaitEntry> takeNext(WaitQueue &queue, const std::array<bool, Priorities> &mayServe);
+std::optional<WaitEntry> dequeue(WaitQueue &queue, const std::array<bool, PriorityCount> &isAllowed);
 /// Forgets a request; says whether it waited.
 bool removeEntry(WaitQueue &queue, const WaitEntry &entry);
 /// How many wait that will be let in before a new one of @p priority.
--- a/src/bench/admission/fleetlimits.cpp
+++ b/src/bench/admission/fleetlimits.cpp
@@ -1,7 +1,7 @@
 #include "fleetlimits.h"
 
+#include "limits/customerlimiter.h"
 #include "limits/grantrules.h"
-#include "limits/limitkeeper.h"
 #include "peers/localtransport.h"
 
 #include <fmt/format.h>
@@ -24,7 +24,7 @@
 struct Vm {
     std::shared_ptr<membership::Members> members;
     std::shared_ptr<peers::LocalTransport> transport;
-    std::shared_ptr<limits::LimitKeeper> keeper;
+    std::shared_ptr<limits::CustomerLimiter> limiter;
     limits::Bucket bucket;
 };
 
@@ -49,7 +49,7 @@
             vms_[i].members = membership::Members::create(list[i].instance);
             vms_[i].members->applyList(list);
             vms_[i].transport = peers::LocalTransport::create(*loop_, network_, list[i].instance);
-            vms_[i].keeper = limits::LimitKeeper::create({loop_.get(), contracts_, vms_[i].members, vms_[i].transport, nullptr});
+            vms_[i].limiter = limits::CustomerLimiter::create({loop_.get(), contracts_, vms_[i].members, vms_[i].transport, nullptr});
         }
     }
 
@@ -89,7 +89,7 @@
         result_.asked++;
         if (sharing_ != Sharing::Ours) {
             limits::BucketRate rate = limits::requestRate(contracts_->find("shop")->contract.limits);
-            rate = sharing_ == Sharing::StaticSplit ? limits::shareOf(rate, Vms) : rate;
+            rate = sharing_ == Sharing::StaticSplit ? limits::evenShare(rate, Vms) : rate;
             limits::refill(vm.bucket, rate, clock_.now());
             if (vm.bucket.level >= 1) {
                 vm.bucket.level -= 1;
@@ -97,10 +97,10 @@
             }
             return;
         }
-        vm.keeper->take(*contracts_->find("shop"), 10, [this, &vm](const limits::TakeResult &result) {
-            if (result.taken) {
+        vm.limiter->acquire(*contracts_->find("shop"), 10, [this, &vm](const limits::AcquireResult &result) {
+            if (result.acquired) {
                 result_.admitted++;
-                vm.keeper->release("shop", 0);
+                vm.limiter->release("shop", 0);
             }
         });
     }
--- a/src/bench/admission/overload.cpp
+++ b/src/bench/admission/overload.cpp
@@ -110,13 +110,13 @@
 
     void askOurs(const TrafficClass &traffic)
     {
-        admission::AdmissionQuestion question;
-        question.contract = contract_;
-        question.serviceClass = traffic.serviceClass;
-        question.target = "model";
-        question.estimatedTokens = traffic.tokens;
+        admission::AdmissionParameters parameters;
+        parameters.contract = contract_;
+        parameters.serviceClass = traffic.serviceClass;
+        parameters.target = "model";
+        parameters.estimatedTokens = traffic.tokens;
         const TimePoint now = clock_.now();
-        admission_->ask(question, [this, &traffic, now](const admission::AdmissionDecision &decision) {
+        admission_->requestAdmission(parameters, [this, &traffic, now](const admission::AdmissionDecision &decision) {
             if (!decision.admitted) {
                 result_.classes[traffic.serviceClass.name].refused[std::string(metrics::reasonName(decision.reason))]++;
                 return;
@@ -143,7 +143,7 @@
         run.onFirstToken = [this, firstTokenAt, ticket] {
             *firstTokenAt = clock_.now();
             if (ticket != 0) {
-                admission_->firstToken(ticket);
+                admission_->onFirstToken(ticket);
             }
         };
         run.onEnd = [this, &traffic, since, firstTokenAt, ticket] {
--- a/src/bench/routing/decisionbench.cpp
+++ b/src/bench/routing/decisionbench.cpp
@@ -153,17 +153,17 @@
     {
         Entry &entry = entries_[job.entry];
         if (policy_ == Policy::Ours) {
-            routing::RouteQuestion question;
-            question.name = "model";
-            question.customer = job.customer;
-            question.prefixHash = job.prefix;
-            question.promptTokens = static_cast<std::int64_t>(job.prefixTokens + job.ownTokens);
-            question.urgency = static_cast<routing::Urgency>(job.priority);
+            routing::RouteCriteria criteria;
+            criteria.name = "model";
+            criteria.customer = job.customer;
+            criteria.prefixHash = job.prefix;
+            criteria.promptTokens = static_cast<std::int64_t>(job.prefixTokens + job.ownTokens);
+            criteria.urgency = static_cast<routing::Urgency>(job.priority);
             for (const std::size_t engine : tried) {
-                question.exclude.push_back("engine-" + std::to_string(engine));
-                question.avoidZones.push_back("zone-" + std::to_string(engine % Zones));
+                criteria.exclude.push_back("engine-" + std::to_string(engine));
+                criteria.avoidZones.push_back("zone-" + std::to_string(engine % Zones));
             }
-            const auto vm = entry.router->choose(question);
+            const auto vm = entry.router->choose(criteria);
             return vm ? std::optional<std::size_t>(std::stoul(vm->instance.substr(7))) : std::nullopt;
         }
         std::vector<std::size_t> left;
--- a/src/bench/routing/main.cpp
+++ b/src/bench/routing/main.cpp
@@ -37,13 +37,13 @@
     }
     members->applyList(list);
     const auto router = routing::Router::create(clock, members);
-    routing::RouteQuestion question;
-    question.name = "model";
-    question.customer = "customer";
-    question.promptTokens = 1000;
+    routing::RouteCriteria criteria;
+    criteria.name = "model";
+    criteria.customer = "customer";
+    criteria.promptTokens = 1000;
     for (auto _ : state) {
-        question.prefixHash += 0x9E3779B97F4A7C15U;
-        benchmark::DoNotOptimize(router->choose(question));
+        criteria.prefixHash += 0x9E3779B97F4A7C15U;
+        benchmark::DoNotOptimize(router->choose(criteria));
     }
 }
 BENCHMARK(oneDecision)->Arg(12)->Arg(120)->Arg(1100);
--- a/src/gateway/internal/chathandler.cpp
+++ b/src/gateway/internal/chathandler.cpp
@@ -69,16 +69,16 @@
         return;
     }
     const contract::ServiceClass *serviceClass = contract::findClass(contract, grant->serviceClass);
-    admission::AdmissionQuestion question;
-    question.contract = caller.contract;
-    question.serviceClass = *serviceClass;
-    question.target = request->model;
-    question.mostPromptTokens = static_cast<std::int64_t>(request->messagesJson.size());
-    question.mostOutputTokens = std::min(request->maxTokens.value_or(grant->maxOutputTokens), grant->maxOutputTokens);
-    question.estimatedTokens = request->estimatedPromptTokens + question.mostOutputTokens;
+    admission::AdmissionParameters parameters;
+    parameters.contract = caller.contract;
+    parameters.serviceClass = *serviceClass;
+    parameters.target = request->model;
+    parameters.maxPromptTokens = static_cast<std::int64_t>(request->messagesJson.size());
+    parameters.maxOutputTokens = std::min(request->maxTokens.value_or(grant->maxOutputTokens), grant->maxOutputTokens);
+    parameters.estimatedTokens = request->estimatedPromptTokens + parameters.maxOutputTokens;
     const TimePoint firstTokenBy = tools_.loop->now() + std::chrono::milliseconds(serviceClass->waitUpToMs + serviceClass->firstTokenMs);
-    tools_.admission->ask(
-        question, [this, caller, request = *request, grant = *grant, serviceClass = *serviceClass, firstTokenBy](admission::AdmissionDecision decision) {
+    tools_.admission->requestAdmission(
+        parameters, [this, caller, request = *request, grant = *grant, serviceClass = *serviceClass, firstTokenBy](admission::AdmissionDecision decision) {
             if (!decision.admitted) {
                 refuse(caller, {decision.reason, std::string(admission::refusalMessage(decision.reason)), decision.retryAfter});
                 return;
@@ -133,7 +133,7 @@
             return;
         }
         tools_.metrics->add("requests_accepted_total");
-        streamTo(tools_, open, responder, 0, [admission = tools_.admission, ticket] { admission->firstToken(ticket); });
+        streamTo(tools_, open, responder, 0, [admission = tools_.admission, ticket] { admission->onFirstToken(ticket); });
     };
     const auto opened = tools_.keeper->open(std::move(state), onAccepted);
     *session = opened;
@@ -164,7 +164,7 @@
 {
     streams::StreamView view;
     view.onToken = [this, ticket](std::uint64_t, const std::string &) {
-        tools_.admission->firstToken(ticket);
+        tools_.admission->onFirstToken(ticket);
     };
     view.onFinished = [this, &session, responder = caller.responder] {
         http::Response response = wholeAnswer(session.state());
--- a/src/gateway/internal/servicehandler.cpp
+++ b/src/gateway/internal/servicehandler.cpp
@@ -139,12 +139,12 @@
     record.idempotent = grant->idempotent;
     record.deadline = call->answerBy;
     record.fingerprint = suspects::fingerprintOf(contract.customer, call->service, full + call->caller.http.body);
-    admission::AdmissionQuestion question;
-    question.contract = call->caller.contract;
-    question.serviceClass = call->serviceClass;
-    question.target = call->service;
-    question.isModel = false;
-    tools_.admission->ask(question, [this, call](admission::AdmissionDecision decision) {
+    admission::AdmissionParameters parameters;
+    parameters.contract = call->caller.contract;
+    parameters.serviceClass = call->serviceClass;
+    parameters.target = call->service;
+    parameters.isModel = false;
+    tools_.admission->requestAdmission(parameters, [this, call](admission::AdmissionDecision decision) {
         if (!decision.admitted) {
             refuse(call, {decision.reason, std::string(admission::refusalMessage(decision.reason)), decision.retryAfter});
             return;
--- a/src/limits/grantrules.h
+++ b/src/limits/grantrules.h
@@ -16,7 +16,7 @@
 BucketRate requestRate(const contract::Limits &limits);
 BucketRate tokenRate(const contract::Limits &limits);
 /// The part of @p rate that a VM may use alone while it can't reach the grantor, so that the sum over @p vms holds.
-BucketRate shareOf(const BucketRate &rate, std::size_t vms);
+BucketRate evenShare(const BucketRate &rate, std::size_t vms);
 
 void refill(Bucket &bucket, const BucketRate &rate, TimePoint now);
 /// Time until @p amount is in the bucket; 0 if it never will be.
@@ -28,6 +28,6 @@
 
 /// Takes what @p ask wants out of @p pool as far as it is there: what is needed first, and ahead of need only from
 /// plenty.
-wire::GrantReply grantFrom(Pool &pool, const contract::Limits &limits, const std::string &instance, const wire::GrantAsk &ask, TimePoint now);
+wire::GrantReply grantFrom(GrantPool &pool, const contract::Limits &limits, const std::string &instance, const wire::GrantAsk &request, TimePoint now);
 
 } // namespace cardamomlift::limits
--- a/src/limits/internal/limitgrantor.cpp
+++ b/src/limits/internal/customerlimitergrantor.cpp
@@ -1,6 +1,6 @@
 // The grantor's side of a keeper: which entry VM grants, and what it grants.
 
-#include "limits/limitkeeper.h"
+#include "limits/customerlimiter.h"
 
 #include "kernel/log.h"
 #include "limits/limits.pb.h"
@@ -13,33 +13,33 @@
 
 namespace {
 
-constexpr Duration WarmUp = std::chrono::seconds(1); ///< Before a new grantor grants: older grants are used up by then.
-constexpr std::size_t ProbedAfterSilence = 4;
+constexpr Duration GrantorWarmUp = std::chrono::seconds(1); ///< Before a new grantor grants: older grants are used up by then.
+constexpr std::size_t ProbesAfterTimeout = 4;
 
 } // namespace
 
-void LimitKeeper::onEntriesChanged()
+void CustomerLimiter::onEntriesChanged()
 {
     const std::string &self = tools_.members->self();
     std::vector<std::string> entries;
     if (!tools_.members->isLeaving(self)) {
         entries.push_back(self);
     }
-    listedEntries_ = 1;
+    listedEntryCount_ = 1;
     std::size_t liveEntries = entries.size();
     for (const membership::Vm &vm : tools_.members->peers()) {
-        listedEntries_++;
+        listedEntryCount_++;
         liveEntries += vm.state == membership::VmState::Live ? 1 : 0;
-        if (vm.state == membership::VmState::Live && !suspects_.contains(vm.instance)) {
+        if (vm.state == membership::VmState::Live && !unreachable_.contains(vm.instance)) {
             entries.push_back(vm.instance);
         }
     }
     // A VM that reaches no more than half of the others may itself be the one that is cut off.
     hasMajority_ = entries.size() * 2 > liveEntries;
-    const bool isNews = entries != entries_;
-    if (isNews) {
+    const bool hasChanged = entries != entries_;
+    if (hasChanged) {
         entries_ = std::move(entries);
-        entriesSince_ = tools_.loop->now();
+        entriesChangedAt_ = tools_.loop->now();
     }
     std::erase_if(pools_, [this, &self](const auto &entry) { return grantor(entry.first) != self; });
     for (auto &[customer, pool] : pools_) {
@@ -47,20 +47,20 @@
         std::erase_if(pool.holders, [this, &self](const auto &holder) { return holder.first != self && !tools_.members->find(holder.first); });
     }
     for (const auto &[customer, share] : shares_) {
-        if (isNews && share->openHeld > 0) {
-            askSoon(share, ReturnSlotAfter);
+        if (hasChanged && share->slotsHeld > 0) {
+            scheduleGrantRequest(share, SlotReturnDelay);
         }
     }
 }
 
-std::string_view LimitKeeper::grantor(const std::string &customer) const
+std::string_view CustomerLimiter::grantor(const std::string &customer) const
 {
     return hasMajority_ ? grantorOf(customer, entries_) : std::string_view();
 }
 
-wire::GrantReply LimitKeeper::grant(const std::string &instance, const wire::GrantAsk &ask)
+wire::GrantReply CustomerLimiter::grant(const std::string &instance, const wire::GrantAsk &request)
 {
-    const std::string &customer = ask.customer();
+    const std::string &customer = request.customer();
     const auto contract = tools_.contracts->find(customer);
     const std::string_view holder = grantor(customer);
     if (!contract || holder != tools_.members->self()) {
@@ -72,28 +72,28 @@
     }
     auto pool = pools_.find(customer);
     if (pool == pools_.end()) {
-        if (tools_.loop->now() - entriesSince_ < WarmUp) {
+        if (tools_.loop->now() - entriesChangedAt_ < GrantorWarmUp) {
             return {};
         }
-        pool = pools_.emplace(customer, Pool()).first;
-        pool->second.requests.updatedAt = entriesSince_;
+        pool = pools_.emplace(customer, GrantPool()).first;
+        pool->second.requests.updatedAt = entriesChangedAt_;
         // A quarter at once: a minute's tokens may just have been used up at an earlier grantor.
-        pool->second.tokens = {tokenRate(contract->contract.limits).capacity / 4, entriesSince_};
+        pool->second.tokens = {tokenRate(contract->contract.limits).capacity / 4, entriesChangedAt_};
     }
-    return grantFrom(pool->second, contract->contract.limits, instance, ask, tools_.loop->now());
+    return grantFrom(pool->second, contract->contract.limits, instance, request, tools_.loop->now());
 }
 
-void LimitKeeper::suspect(const std::string &instance)
+void CustomerLimiter::markUnreachable(const std::string &instance)
 {
-    if (suspects_.insert(instance).second) {
+    if (unreachable_.insert(instance).second) {
         partLogger("limits")->warn("An entry VM does not answer. instance={}", instance);
         onEntriesChanged();
-        probeSome(ProbedAfterSilence);
+        probeRandom(ProbesAfterTimeout);
     }
 }
 
 // Tells a peer that is gone from a cut around this VM: each VM that is silent leads to a few more probes.
-void LimitKeeper::probeSome(std::size_t count)
+void CustomerLimiter::probeRandom(std::size_t count)
 {
     std::vector<std::string> targets;
     std::sample(entries_.begin(), entries_.end(), std::back_inserter(targets), count, random_);
@@ -102,30 +102,30 @@
     }
 }
 
-void LimitKeeper::probe(const std::string &instance)
+void CustomerLimiter::probe(const std::string &instance)
 {
     const membership::Vm *vm = tools_.members->find(instance);
     if (!vm || instance == tools_.members->self()) {
         return;
     }
-    const std::weak_ptr<LimitKeeper> weak = weak_from_this();
-    tools_.peers->send(membership::peerAddress(*vm), ProbeTopic, std::string(), AskTimeout, [weak, instance](const Result<std::string> &answer) {
+    const std::weak_ptr<CustomerLimiter> weak = weak_from_this();
+    tools_.peers->send(membership::peerAddress(*vm), ProbeTopic, std::string(), CallTimeout, [weak, instance](const Result<std::string> &answer) {
         const auto self = weak.lock();
         if (!self) {
             return;
         }
         if (!answer) {
-            self->suspect(instance);
-        } else if (self->suspects_.erase(instance) > 0) {
+            self->markUnreachable(instance);
+        } else if (self->unreachable_.erase(instance) > 0) {
             self->onEntriesChanged();
         }
     });
 }
 
-void LimitKeeper::probeSuspects()
+void CustomerLimiter::probeUnreachable()
 {
-    std::erase_if(suspects_, [this](const std::string &instance) { return !tools_.members->find(instance); });
-    for (const std::string &instance : suspects_) {
+    std::erase_if(unreachable_, [this](const std::string &instance) { return !tools_.members->find(instance); });
+    for (const std::string &instance : unreachable_) {
         probe(instance);
     }
 }
--- a/src/limits/internal/grantrules.cpp
+++ b/src/limits/internal/grantrules.cpp
@@ -12,37 +12,37 @@
 
 constexpr double SecondsPerMinute = 60;
 constexpr double MicrosecondsPerSecond = 1e6;
-constexpr double AheadShare = 4; ///< Ahead of need at most a quarter of what is left.
-constexpr std::int64_t TightShare = 2; ///< With less than half of the slots free nobody keeps spare ones.
+constexpr double PrefetchDivisor = 4; ///< Ahead of need at most a quarter of what is left.
+constexpr std::int64_t ScarceSlotsDivisor = 2; ///< With less than half of the slots free nobody keeps spare ones.
 
-std::int64_t takeFrom(Bucket &bucket, std::int64_t needed, std::int64_t ahead)
+std::int64_t grantAmount(Bucket &bucket, std::int64_t needed, std::int64_t ahead)
 {
-    const auto whole = static_cast<std::int64_t>(std::floor(std::max(0.0, bucket.level)));
-    const std::int64_t forNeed = std::clamp<std::int64_t>(needed, 0, whole);
-    const auto plenty = static_cast<std::int64_t>((static_cast<double>(whole - forNeed)) / AheadShare);
-    const std::int64_t granted = forNeed + std::clamp<std::int64_t>(ahead, 0, plenty);
+    const auto available = static_cast<std::int64_t>(std::floor(std::max(0.0, bucket.level)));
+    const std::int64_t grantedForNeed = std::clamp<std::int64_t>(needed, 0, available);
+    const auto maxAhead = static_cast<std::int64_t>((static_cast<double>(available - grantedForNeed)) / PrefetchDivisor);
+    const std::int64_t granted = grantedForNeed + std::clamp<std::int64_t>(ahead, 0, maxAhead);
     bucket.level -= static_cast<double>(granted);
     return granted;
 }
 
-void giveBack(Bucket &bucket, const BucketRate &rate, std::int64_t amount)
+void refund(Bucket &bucket, const BucketRate &rate, std::int64_t amount)
 {
     bucket.level = std::min(rate.capacity, bucket.level + static_cast<double>(std::max<std::int64_t>(0, amount)));
 }
 
-void grantOpen(Pool &pool, std::int64_t limit, const std::string &instance, const wire::GrantAsk &ask, wire::GrantReply &reply)
+void grantSlots(GrantPool &pool, std::int64_t limit, const std::string &instance, const wire::GrantAsk &request, wire::GrantReply &reply)
 {
-    OpenHolder &own = pool.holders[instance];
-    own.held = ask.open_held();
+    SlotHolder &own = pool.holders[instance];
+    own.held = request.open_held();
     std::int64_t held = 0;
     for (const auto &[name, holder] : pool.holders) {
         held += holder.held;
     }
     const std::int64_t free = std::max<std::int64_t>(0, limit - held);
-    const std::int64_t granted = std::clamp<std::int64_t>(ask.open_needed(), 0, free);
+    const std::int64_t granted = std::clamp<std::int64_t>(request.open_needed(), 0, free);
     own.held += granted;
     reply.set_open(granted);
-    reply.set_open_tight((free - granted) * TightShare < limit);
+    reply.set_open_tight((free - granted) * ScarceSlotsDivisor < limit);
 }
 
 } // namespace
@@ -59,7 +59,7 @@
     return {perMinute / SecondsPerMinute, perMinute};
 }
 
-BucketRate shareOf(const BucketRate &rate, std::size_t vms)
+BucketRate evenShare(const BucketRate &rate, std::size_t vms)
 {
     const auto parts = static_cast<double>(std::max<std::size_t>(1, vms));
     return {rate.perSecond / parts, rate.capacity <= 0 ? 0 : std::max(1.0, rate.capacity / parts)};
@@ -96,26 +96,26 @@
     return best;
 }
 
-wire::GrantReply grantFrom(Pool &pool, const contract::Limits &limits, const std::string &instance, const wire::GrantAsk &ask, TimePoint now)
+wire::GrantReply grantFrom(GrantPool &pool, const contract::Limits &limits, const std::string &instance, const wire::GrantAsk &request, TimePoint now)
 {
     wire::GrantReply reply;
-    OpenHolder &holder = pool.holders[instance];
-    if (ask.sequence() <= holder.sequence) {
+    SlotHolder &holder = pool.holders[instance];
+    if (request.sequence() <= holder.sequence) {
         return reply;
     }
-    holder.sequence = ask.sequence();
+    holder.sequence = request.sequence();
     reply.set_granting(true);
     const BucketRate requests = requestRate(limits);
     const BucketRate tokens = tokenRate(limits);
     refill(pool.requests, requests, now);
     refill(pool.tokens, tokens, now);
-    giveBack(pool.requests, requests, ask.requests_returned());
-    giveBack(pool.tokens, tokens, ask.tokens_returned());
-    reply.set_requests(takeFrom(pool.requests, ask.requests_needed(), ask.requests_ahead()));
-    reply.set_tokens(takeFrom(pool.tokens, ask.tokens_needed(), ask.tokens_ahead()));
-    grantOpen(pool, limits.openRequests, instance, ask, reply);
+    refund(pool.requests, requests, request.requests_returned());
+    refund(pool.tokens, tokens, request.tokens_returned());
+    reply.set_requests(grantAmount(pool.requests, request.requests_needed(), request.requests_ahead()));
+    reply.set_tokens(grantAmount(pool.tokens, request.tokens_needed(), request.tokens_ahead()));
+    grantSlots(pool, limits.openRequests, instance, request, reply);
     reply.set_requests_wait_us(timeUntil(pool.requests, requests, 1).count());
-    const auto tokensMissing = static_cast<double>(std::max<std::int64_t>(0, ask.tokens_needed() - reply.tokens()));
+    const auto tokensMissing = static_cast<double>(std::max<std::int64_t>(0, request.tokens_needed() - reply.tokens()));
     reply.set_tokens_wait_us(timeUntil(pool.tokens, tokens, tokensMissing).count());
     return reply;
 }
--- a/src/limits/internal/limitshare.h
+++ b/src/limits/internal/limitshare.h
@@ -1,7 +1,7 @@
 #pragma once
 
+#include "limits/customerlimiter.h"
 #include "limits/grantrules.h"
-#include "limits/limitkeeper.h"
 
 #include <algorithm>
 #include <cmath>
@@ -10,70 +10,70 @@
 
 namespace cardamomlift::limits {
 
-inline constexpr Duration RefuseFor = std::chrono::milliseconds(25); ///< Doubled with each ask that brings too little.
-inline constexpr double IdleBelow = 0.1; ///< Requests a second.
-inline constexpr Duration AskTimeout = std::chrono::milliseconds(250);
-inline constexpr Duration ReturnSlotAfter = std::chrono::milliseconds(20);
+inline constexpr Duration InitialRefusalBackoff = std::chrono::milliseconds(25); ///< Doubled with each ask that brings too little.
+inline constexpr double IdleRequestsPerSecond = 0.1; ///< Requests a second.
+inline constexpr Duration CallTimeout = std::chrono::milliseconds(250);
+inline constexpr Duration SlotReturnDelay = std::chrono::milliseconds(20);
 inline constexpr char ProbeTopic[] = "limits.probe";
 
-inline std::int64_t ceilOf(double value)
+inline std::int64_t roundUp(double value)
 {
     return static_cast<std::int64_t>(std::ceil(value));
 }
 
 /// What this VM holds of one customer's limits.
-struct LimitKeeper::Share {
-    struct Waiting {
+struct CustomerLimiter::Share {
+    struct WaitingRequest {
         std::int64_t tokens = 0;
-        TakeHandler handler;
-        TimePoint since;
-        bool wasAsked = false;
+        AcquireHandler handler;
+        TimePoint queuedAt;
+        bool isCovered = false;
     };
     std::string customer;
     contract::Limits limits;
     std::int64_t requests = 0; ///< Granted and not used.
     std::int64_t tokens = 0;
-    std::int64_t openHeld = 0;
-    std::int64_t openUsed = 0;
-    bool openTight = true;
-    std::deque<Waiting> waiting;
-    bool asking = false;
-    bool isAskDue = false; ///< An askSoon() is under way.
-    TimePoint grantedAt;
-    TimePoint noGrantorUntil;
+    std::int64_t slotsHeld = 0;
+    std::int64_t slotsUsed = 0;
+    bool slotsScarce = true;
+    std::deque<WaitingRequest> waiting;
+    bool isGrantRequestPending = false;
+    bool isGrantRequestScheduled = false; ///< An askSoon() is under way.
+    TimePoint lastGrantAt;
+    TimePoint useOwnShareUntil;
     bool usesOwnShare = false;
-    Bucket ownRequests;
-    Bucket ownTokens;
+    Bucket ownRequestBucket;
+    Bucket ownTokenBucket;
     TimePoint refusedUntil;
-    Duration refuseFor = RefuseFor;
-    TakeResult refusedWith;
+    Duration refusalBackoff = InitialRefusalBackoff;
+    AcquireResult lastRefusal;
     Duration requestsWait{0};
     Duration tokensWait{0};
-    std::int64_t takenRequests = 0; ///< Since the last tick.
-    std::int64_t takenTokens = 0;
+    std::int64_t acquiredRequests = 0; ///< Since the last tick.
+    std::int64_t acquiredTokens = 0;
     double requestsPerSecond = 0;
     double tokensPerSecond = 0;
 
-    std::int64_t tokensOfWaiting() const
+    std::int64_t waitingTokens() const
     {
         std::int64_t sum = 0;
-        for (const Waiting &entry : waiting) {
+        for (const WaitingRequest &entry : waiting) {
             sum += entry.tokens;
         }
         return sum;
     }
-    std::int64_t requestsAhead() const
+    std::int64_t requestsToPrefetch() const
     {
-        return requestsPerSecond < IdleBelow ? 0 : ceilOf(requestsPerSecond);
+        return requestsPerSecond < IdleRequestsPerSecond ? 0 : roundUp(requestsPerSecond);
     }
-    std::int64_t tokensAhead() const
+    std::int64_t tokensToPrefetch() const
     {
         // NOTE Reservations run ahead of real use, so the limit itself bounds what is held.
-        return requestsPerSecond < IdleBelow ? 0 : ceilOf(std::min(tokensPerSecond, tokenRate(limits).perSecond));
+        return requestsPerSecond < IdleRequestsPerSecond ? 0 : roundUp(std::min(tokensPerSecond, tokenRate(limits).perSecond));
     }
     bool isEmpty() const
     {
-        return openUsed == 0 && openHeld == 0 && requests == 0 && tokens == 0 && waiting.empty() && !asking && !isAskDue;
+        return slotsUsed == 0 && slotsHeld == 0 && requests == 0 && tokens == 0 && waiting.empty() && !isGrantRequestPending && !isGrantRequestScheduled;
     }
 };
 
--- a/src/limits/limitsmodule.cpp
+++ b/src/limits/limitsmodule.cpp
@@ -1,6 +1,6 @@
 #include "kernel/module.h"
 #include "kernel/runtime.h"
-#include "limits/limitkeeper.h"
+#include "limits/customerlimiter.h"
 
 namespace cardamomlift::limits {
 
@@ -21,13 +21,13 @@
 
     Result<void> start(Context &context) override
     {
-        LimitTools tools;
+        CustomerLimiterTools tools;
         tools.loop = context.get<Runtime>()->loop;
         tools.contracts = context.get<contract::ContractSet>();
         tools.members = context.get<membership::Members>();
         tools.peers = context.get<peers::PeerTransport>();
         tools.metrics = context.get<metrics::Metrics>();
-        context.set(LimitKeeper::create(std::move(tools)));
+        context.set(CustomerLimiter::create(std::move(tools)));
         return success();
     }
 };
--- a/src/limits/limittypes.h
+++ b/src/limits/limittypes.h
@@ -22,21 +22,21 @@
 };
 
 /// What one entry VM holds of a customer's concurrency limit.
-struct OpenHolder {
+struct SlotHolder {
     std::int64_t held = 0;
     std::uint64_t sequence = 0; ///< Of its newest ask; an older one comes late and is ignored.
 };
 
 /// The grantor's books on one customer.
-struct Pool {
+struct GrantPool {
     Bucket requests;
     Bucket tokens;
-    std::map<std::string, OpenHolder> holders; ///< By instance.
+    std::map<std::string, SlotHolder> holders; ///< By instance.
 };
 
 /// What is taken for one request.
-struct TakeResult {
-    bool taken = false;
+struct AcquireResult {
+    bool acquired = false;
     metrics::RefusalReason reason = metrics::RefusalReason::TooManyRequests;
     Duration retryAfter{0}; ///< 0: a repeat does not help.
 };
--- a/src/limits/tests/limitkeeper_test.cpp
+++ b/src/limits/tests/customerlimiter_test.cpp
@@ -1,5 +1,5 @@
+#include "limits/customerlimiter.h"
 #include "limits/grantrules.h"
-#include "limits/limitkeeper.h"
 #include "peers/localtransport.h"
 
 #include <fmt/format.h>
@@ -11,7 +11,7 @@
 namespace {
 
 constexpr int PerSecond = 100;
-constexpr int Open = 20;
+constexpr int OpenRequests = 20;
 constexpr int TokensPerMinute = 60000;
 constexpr Duration Step = std::chrono::milliseconds(10);
 
@@ -22,7 +22,7 @@
         "limits": {{"requestsPerSecond": {}, "openRequests": {}, "tokensPerMinute": {}}},
         "spending": {{"perDayCents": 100, "centsPerMillionTokens": 1, "centsPerThousandCalls": 1}}}})",
         PerSecond,
-        Open,
+        OpenRequests,
         TokensPerMinute);
 }
 
@@ -31,14 +31,14 @@
     std::shared_ptr<contract::ContractSet> contracts = contract::ContractSet::create();
     std::shared_ptr<membership::Members> members;
     std::shared_ptr<peers::LocalTransport> transport;
-    std::shared_ptr<LimitKeeper> keeper;
-    int taken = 0;
+    std::shared_ptr<CustomerLimiter> limiter;
+    int acquired = 0;
     int open = 0;
     std::map<metrics::RefusalReason, int> refused;
-    int allRefused = 0;
+    int totalRefused = 0;
 };
 
-class FleetOfLimits : public testing::Test
+class CustomerLimiterTest : public testing::Test
 {
 protected:
     void start(std::size_t vms)
@@ -47,15 +47,15 @@
             list_.push_back({fmt::format("entry-{}", i), "127.0.0.1", 1, 1, "zone-1"});
         }
         for (const membership::Vm &vm : list_) {
-            auto &entry = vms_.emplace_back(std::make_unique<TestVm>());
-            entry->instance = vm.instance;
-            entry->contracts->offer({"shop", 1, 1, contractText(), "tester", "edit", 0});
-            entry->members = membership::Members::create(vm.instance);
-            entry->members->applyList(list_);
-            entry->transport = peers::LocalTransport::create(*loop_, network_, vm.instance);
-            entry->keeper = LimitKeeper::create({loop_.get(), entry->contracts, entry->members, entry->transport, nullptr});
+            auto &vm = vms_.emplace_back(std::make_unique<TestVm>());
+            vm->instance = vm.instance;
+            vm->contracts->offer({"shop", 1, 1, contractText(), "tester", "edit", 0});
+            vm->members = membership::Members::create(vm.instance);
+            vm->members->applyList(list_);
+            vm->transport = peers::LocalTransport::create(*loop_, network_, vm.instance);
+            vm->limiter = CustomerLimiter::create({loop_.get(), vm->contracts, vm->members, vm->transport, nullptr});
         }
-        pass(std::chrono::seconds(3));
+        advance(std::chrono::seconds(3));
     }
 
     std::size_t grantorIndex() const
@@ -68,7 +68,7 @@
         return static_cast<std::size_t>(std::find(names.begin(), names.end(), name) - names.begin());
     }
 
-    void pass(Duration time)
+    void advance(Duration time)
     {
         for (Duration passed{0}; passed < time; passed += Step) {
             clock_.advance(Step);
@@ -78,20 +78,20 @@
     }
 
     /// One request that ends at once, unless @p stays.
-    void request(std::size_t index, std::int64_t tokens = 0, bool stays = false)
+    void request(std::size_t index, std::int64_t tokens = 0, bool staysOpen = false)
     {
         TestVm &vm = *vms_[index];
-        vm.keeper->take(*vm.contracts->find("shop"), tokens, [&vm, stays](const TakeResult &result) {
-            if (!result.taken) {
+        vm.limiter->acquire(*vm.contracts->find("shop"), tokens, [&vm, staysOpen](const AcquireResult &result) {
+            if (!result.acquired) {
                 vm.refused[result.reason]++;
-                vm.allRefused++;
+                vm.totalRefused++;
                 return;
             }
-            vm.taken++;
+            vm.acquired++;
             vm.open++;
-            if (!stays) {
+            if (!staysOpen) {
                 vm.open--;
-                vm.keeper->release("shop", 0);
+                vm.limiter->release("shop", 0);
             }
         });
     }
@@ -106,11 +106,11 @@
                     request(target);
                 }
             }
-            pass(Step);
+            advance(Step);
         }
     }
 
-    void cut(std::size_t index)
+    void partition(std::size_t index)
     {
         for (const auto &vm : vms_) {
             network_->cuts.insert({vm->instance, vms_[index]->instance});
@@ -118,11 +118,11 @@
         }
     }
 
-    int takenByAll() const
+    int totalAcquired() const
     {
         int sum = 0;
         for (const auto &vm : vms_) {
-            sum += vm->taken;
+            sum += vm->acquired;
         }
         return sum;
     }
@@ -136,90 +136,90 @@
 
 } // namespace
 
-TEST_F(FleetOfLimits, OneVmMayUseTheWholeRate)
+TEST_F(CustomerLimiterTest, OneVmMayUseTheWholeRate)
 {
     start(4);
     const std::size_t other = (grantorIndex() + 1) % 4;
     load({other}, PerSecond * 95 / 100, std::chrono::seconds(10));
-    EXPECT_EQ(vms_[other]->allRefused, 0);
-    EXPECT_GE(vms_[other]->taken, PerSecond * 94 / 10);
+    EXPECT_EQ(vms_[other]->totalRefused, 0);
+    EXPECT_GE(vms_[other]->acquired, PerSecond * 94 / 10);
 }
 
-TEST_F(FleetOfLimits, TheSumOfTheRatesHolds)
+TEST_F(CustomerLimiterTest, TheSumOfTheRatesHolds)
 {
     start(4);
     load({0, 1, 2, 3}, PerSecond, std::chrono::seconds(10));
-    RecordProperty("taken", takenByAll());
-    EXPECT_LE(takenByAll(), PerSecond * 11) << "ten seconds' worth and one second's burst";
-    EXPECT_GE(takenByAll(), PerSecond * 95 / 10);
+    RecordProperty("taken", totalAcquired());
+    EXPECT_LE(totalAcquired(), PerSecond * 11) << "ten seconds' worth and one second's burst";
+    EXPECT_GE(totalAcquired(), PerSecond * 95 / 10);
 }
 
-TEST_F(FleetOfLimits, OpenRequestsAreCountedOverAllVms)
+TEST_F(CustomerLimiterTest, OpenRequestsAreCountedOverAllVms)
 {
     start(4);
-    for (int i = 0; i < Open; i++) {
+    for (int i = 0; i < OpenRequests; i++) {
         request(1, 0, true);
-        pass(Step);
+        advance(Step);
     }
-    EXPECT_EQ(vms_[1]->open, Open);
+    EXPECT_EQ(vms_[1]->open, OpenRequests);
     request(2, 0, true);
-    pass(std::chrono::milliseconds(100));
+    advance(std::chrono::milliseconds(100));
     EXPECT_EQ(vms_[2]->refused[metrics::RefusalReason::TooManyOpen], 1);
-    vms_[1]->keeper->release("shop", 0);
-    pass(std::chrono::milliseconds(100));
+    vms_[1]->limiter->release("shop", 0);
+    advance(std::chrono::milliseconds(100));
     request(2, 0, true);
-    pass(std::chrono::milliseconds(100));
+    advance(std::chrono::milliseconds(100));
     EXPECT_EQ(vms_[2]->open, 1) << "a slot that is free at one VM serves another";
 }
 
-TEST_F(FleetOfLimits, TokensThatWereNotUsedComeBack)
+TEST_F(CustomerLimiterTest, TokensThatWereNotUsedComeBack)
 {
     start(3);
-    pass(std::chrono::minutes(1));
+    advance(std::chrono::minutes(1));
     for (int i = 0; i < 100; i++) {
         TestVm &vm = *vms_[1];
-        vm.keeper->take(*vm.contracts->find("shop"), TokensPerMinute / 20, [&vm](const TakeResult &result) {
-            vm.taken += result.taken ? 1 : 0;
-            if (result.taken) {
-                vm.keeper->release("shop", TokensPerMinute / 20 - 10);
+        vm.limiter->acquire(*vm.contracts->find("shop"), TokensPerMinute / 20, [&vm](const AcquireResult &result) {
+            vm.acquired += result.acquired ? 1 : 0;
+            if (result.acquired) {
+                vm.limiter->release("shop", TokensPerMinute / 20 - 10);
             }
         });
-        pass(std::chrono::milliseconds(50));
+        advance(std::chrono::milliseconds(50));
     }
-    EXPECT_EQ(vms_[1]->taken, 100);
+    EXPECT_EQ(vms_[1]->acquired, 100);
     request(1, TokensPerMinute + 1);
-    pass(std::chrono::milliseconds(100));
+    advance(std::chrono::milliseconds(100));
     EXPECT_EQ(vms_[1]->refused[metrics::RefusalReason::TokenLimit], 1);
 }
 
-TEST_F(FleetOfLimits, ADeadGrantorIsReplacedBeforeTheListShowsIt)
+TEST_F(CustomerLimiterTest, ADeadGrantorIsReplacedBeforeTheListShowsIt)
 {
     start(4);
     const std::size_t dead = grantorIndex();
     const std::size_t other = (dead + 1) % 4;
     load({other}, PerSecond / 2, std::chrono::seconds(2));
-    cut(dead);
+    partition(dead);
     load({other}, PerSecond / 2, std::chrono::seconds(3));
-    const int refusedAtFirst = vms_[other]->allRefused;
+    const int refusedAtFirst = vms_[other]->totalRefused;
     RecordProperty("refusedAtFirst", refusedAtFirst);
     load({other}, PerSecond / 2, std::chrono::seconds(10));
-    EXPECT_EQ(vms_[other]->allRefused, refusedAtFirst) << "half of the limit is more than the own share of a quarter";
+    EXPECT_EQ(vms_[other]->totalRefused, refusedAtFirst) << "half of the limit is more than the own share of a quarter";
 }
 
-TEST_F(FleetOfLimits, ACutOffVmPassesTheLimitByItsShareAtMost)
+TEST_F(CustomerLimiterTest, ACutOffVmPassesTheLimitByItsShareAtMost)
 {
     start(4);
     const std::size_t alone = (grantorIndex() + 1) % 4;
     load({0, 1, 2, 3}, PerSecond, std::chrono::seconds(2));
-    cut(alone);
-    const int before = takenByAll();
+    partition(alone);
+    const int before = totalAcquired();
     load({0, 1, 2, 3}, PerSecond, std::chrono::seconds(20));
-    const int taken = takenByAll() - before;
-    RecordProperty("taken", taken);
-    EXPECT_LE(taken, PerSecond * 20 * 5 / 4 + PerSecond * 2) << "the share of one VM of four, and two bursts while the view changes";
+    const int acquired = totalAcquired() - before;
+    RecordProperty("taken", acquired);
+    EXPECT_LE(acquired, PerSecond * 20 * 5 / 4 + PerSecond * 2) << "the share of one VM of four, and two bursts while the view changes";
 }
 
-TEST_F(FleetOfLimits, TwoHalvesThatAreCutFromEachOtherShareTheLimit)
+TEST_F(CustomerLimiterTest, TwoHalvesThatAreCutFromEachOtherShareTheLimit)
 {
     start(4);
     for (const auto &[from, to] : std::vector<std::pair<int, int>>{{0, 2}, {0, 3}, {1, 2}, {1, 3}}) {
@@ -227,38 +227,38 @@
         network_->cuts.insert({vms_[to]->instance, vms_[from]->instance});
     }
     load({0, 1, 2, 3}, PerSecond, std::chrono::seconds(5));
-    const int before = takenByAll();
+    const int before = totalAcquired();
     load({0, 1, 2, 3}, PerSecond, std::chrono::seconds(10));
-    const int taken = takenByAll() - before;
-    RecordProperty("taken", taken);
-    EXPECT_LE(taken, PerSecond * 11);
-    EXPECT_GE(taken, PerSecond * 9) << "each VM goes on with its share";
+    const int acquired = totalAcquired() - before;
+    RecordProperty("taken", acquired);
+    EXPECT_LE(acquired, PerSecond * 11);
+    EXPECT_GE(acquired, PerSecond * 9) << "each VM goes on with its share";
 }
 
-TEST_F(FleetOfLimits, SlotsOfACutOffVmStayTaken)
+TEST_F(CustomerLimiterTest, SlotsOfACutOffVmStayTaken)
 {
     start(4);
     const std::size_t alone = (grantorIndex() + 1) % 4;
     const std::size_t other = (grantorIndex() + 2) % 4;
-    for (int i = 0; i < Open; i++) {
+    for (int i = 0; i < OpenRequests; i++) {
         request(alone, 0, true);
-        pass(Step);
+        advance(Step);
     }
-    cut(alone);
+    partition(alone);
     request(other, 0, true);
-    pass(std::chrono::seconds(3));
+    advance(std::chrono::seconds(3));
     EXPECT_EQ(vms_[other]->open, 0);
     list_.erase(list_.begin() + static_cast<std::ptrdiff_t>(alone));
     for (const auto &vm : vms_) {
         vm->members->applyList(list_);
     }
-    pass(std::chrono::seconds(3));
+    advance(std::chrono::seconds(3));
     request(other, 0, true);
-    pass(std::chrono::seconds(1));
+    advance(std::chrono::seconds(1));
     EXPECT_EQ(vms_[other]->open, 1) << "a VM that is gone runs nothing";
 }
 
-TEST_F(FleetOfLimits, MessagesStayFewAndIdleVmsSendNone)
+TEST_F(CustomerLimiterTest, MessagesStayFewAndIdleVmsSendNone)
 {
     start(4);
     const std::size_t other = (grantorIndex() + 1) % 4;
@@ -267,10 +267,10 @@
     const auto bytes = vms_[other]->transport->counters().bytesSent;
     RecordProperty("callsPerSecond", static_cast<int>(sent / 10));
     RecordProperty("bytesPerCall", static_cast<int>(bytes / sent));
-    EXPECT_LE(sent, 100U) << "for " << vms_[other]->taken << " requests";
-    pass(std::chrono::seconds(20));
+    EXPECT_LE(sent, 100U) << "for " << vms_[other]->acquired << " requests";
+    advance(std::chrono::seconds(20));
     const auto after = vms_[other]->transport->counters().callsSent;
-    pass(std::chrono::minutes(1));
+    advance(std::chrono::minutes(1));
     EXPECT_EQ(vms_[other]->transport->counters().callsSent, after);
     EXPECT_LE(vms_[grantorIndex()]->transport->counters().callsSent, 100U) << "a probe a second";
 }
--- a/src/retry/attemptplanner.h
+++ b/src/retry/attemptplanner.h
@@ -16,7 +16,7 @@
 
 /// One request over its attempts.
 struct RequestRecord {
-    routing::RouteQuestion route; ///< Filled by the request's owner, but for what attempts add.
+    routing::RouteCriteria route; ///< Filled by the request's owner, but for what attempts add.
     suspects::Fingerprint fingerprint = 0;
     bool idempotent = true; ///< May be repeated though it may have run.
     bool mayHaveRun = false; ///< A server may have run a part of it.
--- a/src/retry/internal/attemptplanner.cpp
+++ b/src/retry/internal/attemptplanner.cpp
@@ -48,15 +48,15 @@
 
 std::optional<membership::Vm> AttemptPlanner::chooseServer(const RequestRecord &record, bool isSuspect) const
 {
-    routing::RouteQuestion question = record.route;
-    question.alone = isSuspect;
-    question.exclude = record.tried;
-    question.suspectServers = tools_.suspects->serversWithSuspects();
-    auto server = tools_.router->choose(question);
+    routing::RouteCriteria criteria = record.route;
+    criteria.preferIdleServer = isSuspect;
+    criteria.exclude = record.tried;
+    criteria.serversWithSuspects = tools_.suspects->serversWithSuspects();
+    auto server = tools_.router->choose(criteria);
     if (!server && record.accepted) {
         // An accepted answer is finished even on a server that broke off before, but for the last one.
-        question.exclude = {record.tried.back()};
-        server = tools_.router->choose(question);
+        criteria.exclude = {record.tried.back()};
+        server = tools_.router->choose(criteria);
     }
     return server;
 }
--- a/src/routing/internal/choose.cpp
+++ b/src/routing/internal/choose.cpp
@@ -9,11 +9,11 @@
 namespace {
 
 constexpr double FailedPenaltyMs = 1e6;
-constexpr double SameZonePenaltyMs = 1e4; ///< A zone goes as a whole: after a failure another zone is tried first.
-constexpr double SuspectPenaltyMs = 500; ///< A server with a suspect may crash; a failed one surely fails.
-constexpr double SuspectsApartPenaltyMs = 1e5; ///< Two suspects on one server would not be told apart.
-constexpr double NotAlonePenaltyMs = 1e3; ///< For each request that a suspect would run beside.
-constexpr double StartsPerRootOfEntries = 2; ///< Found with bench-routing at 8 and 40 entry VMs.
+constexpr double FailedZonePenaltyMs = 1e4; ///< A zone goes as a whole: after a failure another zone is tried first.
+constexpr double HostsSuspectPenaltyMs = 500; ///< A server with a suspect may crash; a failed one surely fails.
+constexpr double SecondSuspectPenaltyMs = 1e5; ///< Two suspects on one server would not be told apart.
+constexpr double SharedServerPenaltyMs = 1e3; ///< For each request that a suspect would run beside.
+constexpr double FleetStartsPerRootOfEntries = 2; ///< Found with bench-routing at 8 and 40 entry VMs.
 constexpr double FullCacheShare = 0.95;
 constexpr double FullCachePenaltyMs = 100; ///< Above FullCacheShare running requests get preempted.
 constexpr double MsPerPriceRatioNormal = 25;
@@ -25,15 +25,15 @@
     return std::find(values.begin(), values.end(), value) != values.end();
 }
 
-std::int64_t cheapestOf(std::span<const Candidate> candidates)
+std::int64_t lowestPriceOf(std::span<const Candidate> candidates)
 {
-    std::int64_t cheapest = std::numeric_limits<std::int64_t>::max();
+    std::int64_t lowestPrice = std::numeric_limits<std::int64_t>::max();
     for (const Candidate &candidate : candidates) {
         if (!candidate.excluded) {
-            cheapest = std::min(cheapest, candidate.microsPerHour);
+            lowestPrice = std::min(lowestPrice, candidate.microsPerHour);
         }
     }
-    return cheapest;
+    return lowestPrice;
 }
 
 } // namespace
@@ -51,55 +51,55 @@
     return weights;
 }
 
-double startsPerOwn(std::size_t entries)
+double fleetStartsPerLocalStart(std::size_t entries)
 {
-    return std::max(1.0, StartsPerRootOfEntries * std::sqrt(static_cast<double>(entries)));
+    return std::max(1.0, FleetStartsPerRootOfEntries * std::sqrt(static_cast<double>(entries)));
 }
 
 double estimatedLoad(const Candidate &candidate)
 {
     const double own = candidate.inFlight;
     if (!candidate.report) {
-        return own * candidate.startsPerOwn;
+        return own * candidate.fleetStartsPerLocalStart;
     }
-    return std::max(own, candidate.report->running + candidate.recentStarts * candidate.startsPerOwn);
+    return std::max(own, candidate.report->running + candidate.recentStarts * candidate.fleetStartsPerLocalStart);
 }
 
-double costOf(const Candidate &candidate, const RouteQuestion &question, const RouteWeights &weights, std::int64_t cheapest)
+double costOf(const Candidate &candidate, const RouteCriteria &criteria, const RouteWeights &weights, std::int64_t lowestPrice)
 {
     // A customer's own requests count twice, so that its burst spreads before it fills the servers of one prefix.
     const double load = estimatedLoad(candidate) + candidate.customerInFlight;
     double cost = load * weights.msPerRequest;
     if (candidate.report) {
-        cost += candidate.report->waiting * weights.msPerWaiting;
+        cost += candidate.report->waiting * weights.msPerQueued;
         cost += candidate.report->cacheUsed > FullCacheShare ? FullCachePenaltyMs : 0;
     }
-    const double uncached = static_cast<double>(question.promptTokens) * (1 - candidate.cachedShare);
+    const double uncached = static_cast<double>(criteria.promptTokens) * (1 - candidate.cachedShare);
     cost += uncached / weights.promptTokensPerMs * weights.recomputeFactor;
-    if (cheapest > 0) {
-        const double ratio = static_cast<double>(candidate.microsPerHour) / static_cast<double>(cheapest);
+    if (lowestPrice > 0) {
+        const double ratio = static_cast<double>(candidate.microsPerHour) / static_cast<double>(lowestPrice);
         cost += (ratio - 1) * weights.msPerPriceRatio;
     }
     cost += candidate.failedRecently ? FailedPenaltyMs : 0;
-    cost += contains(question.avoidZones, candidate.zone) ? SameZonePenaltyMs : 0;
+    cost += contains(criteria.avoidZones, candidate.zone) ? FailedZonePenaltyMs : 0;
     if (candidate.hostsSuspect) {
-        cost += question.alone ? SuspectsApartPenaltyMs : SuspectPenaltyMs;
+        cost += criteria.preferIdleServer ? SecondSuspectPenaltyMs : HostsSuspectPenaltyMs;
     }
-    cost += question.alone ? estimatedLoad(candidate) * NotAlonePenaltyMs : 0;
+    cost += criteria.preferIdleServer ? estimatedLoad(candidate) * SharedServerPenaltyMs : 0;
     return cost;
 }
 
-std::optional<std::size_t> choose(std::span<const Candidate> candidates, const RouteQuestion &question)
+std::optional<std::size_t> choose(std::span<const Candidate> candidates, const RouteCriteria &criteria)
 {
-    const RouteWeights weights = weightsOf(question.urgency);
-    const std::int64_t cheapest = cheapestOf(candidates);
+    const RouteWeights weights = weightsOf(criteria.urgency);
+    const std::int64_t lowestPrice = lowestPriceOf(candidates);
     std::optional<std::size_t> best;
     double bestCost = 0;
     for (std::size_t i = 0; i < candidates.size(); i++) {
         if (candidates[i].excluded) {
             continue;
         }
-        const double cost = costOf(candidates[i], question, weights, cheapest);
+        const double cost = costOf(candidates[i], criteria, weights, lowestPrice);
         if (!best || cost < bestCost) {
             best = i;
             bestCost = cost;
--- a/src/routing/internal/prefixhints.cpp
+++ b/src/routing/internal/prefixhints.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-constexpr std::size_t MostHints = 16384;
+constexpr std::size_t MaxHints = 16384;
 constexpr Duration HalfLife = std::chrono::seconds(60);
 
 std::uint64_t keyOf(std::string_view instance, std::uint64_t prefixHash)
@@ -26,14 +26,14 @@
         if (found->second->at > at) {
             return;
         }
-        byAge_.erase(found->second);
+        byRecency_.erase(found->second);
         hints_.erase(found);
     }
-    byAge_.push_front({key, share, at});
-    hints_[key] = byAge_.begin();
-    if (byAge_.size() > MostHints) {
-        hints_.erase(byAge_.back().key);
-        byAge_.pop_back();
+    byRecency_.push_front({key, share, at});
+    hints_[key] = byRecency_.begin();
+    if (byRecency_.size() > MaxHints) {
+        hints_.erase(byRecency_.back().key);
+        byRecency_.pop_back();
     }
 }
 
@@ -49,7 +49,7 @@
 
 std::size_t PrefixHints::size() const
 {
-    return byAge_.size();
+    return byRecency_.size();
 }
 
 } // namespace cardamomlift::routing
--- a/src/routing/internal/router.cpp
+++ b/src/routing/internal/router.cpp
@@ -14,28 +14,28 @@
 /// How long a load report is behind; own starts fade out of the estimate over this time.
 constexpr Duration ReportLag = std::chrono::milliseconds(1500);
 /// Polls are seconds apart; a report that old says less than own starts do. Found with bench-routing.
-constexpr Duration ReportWorth = std::chrono::milliseconds(1000);
-constexpr Duration OldestReport = std::chrono::seconds(10);
-constexpr Duration FirstAvoidance = std::chrono::seconds(1);
-constexpr std::uint32_t MostDoublings = 4;
+constexpr Duration ReportDecay = std::chrono::milliseconds(1000);
+constexpr Duration MaxReportAge = std::chrono::seconds(10);
+constexpr Duration InitialBackoff = std::chrono::seconds(1);
+constexpr std::uint32_t MaxBackoffDoublings = 4;
 
 bool contains(std::span<const std::string> values, const std::string &value)
 {
     return std::find(values.begin(), values.end(), value) != values.end();
 }
 
-double faded(const ServerState &state, TimePoint now)
+double decayed(const ServerState &state, TimePoint now)
 {
-    const double lags = std::chrono::duration<double>(now - state.recentAt) / ReportLag;
+    const double lags = std::chrono::duration<double>(now - state.recentStartsAt) / ReportLag;
     return state.recentStarts * std::exp(-lags);
 }
 
 /// A count of requests loses its worth with its age.
-LoadReport faded(LoadReport report, Duration age)
+LoadReport decayed(LoadReport report, Duration age)
 {
-    const double worth = std::exp(-(std::chrono::duration<double>(age) / ReportWorth));
-    report.running = static_cast<std::uint32_t>(std::lround(report.running * worth));
-    report.waiting = static_cast<std::uint32_t>(std::lround(report.waiting * worth));
+    const double weight = std::exp(-(std::chrono::duration<double>(age) / ReportDecay));
+    report.running = static_cast<std::uint32_t>(std::lround(report.running * weight));
+    report.waiting = static_cast<std::uint32_t>(std::lround(report.waiting * weight));
     return report;
 }
 
@@ -60,10 +60,10 @@
 void Router::refresh()
 {
     index_.refresh(*members_);
-    startsPerOwn_ = startsPerOwn(members_->peers().size() + 1);
+    fleetStartsPerLocalStart_ = fleetStartsPerLocalStart(members_->peers().size() + 1);
 }
 
-Candidate Router::candidate(const ServerGroup &group, std::size_t server, const RouteQuestion &question) const
+Candidate Router::candidate(const ServerGroup &group, std::size_t server, const RouteCriteria &criteria) const
 {
     const membership::Vm &vm = group.vms[server];
     const ServerState &state = *group.states[server];
@@ -72,57 +72,58 @@
     result.zone = vm.zone;
     result.microsPerHour = vm.microsPerHour;
     result.inFlight = state.inFlight;
-    const auto customer = state.byCustomer.find(question.customer);
-    result.customerInFlight = customer == state.byCustomer.end() ? 0 : customer->second;
-    result.recentStarts = faded(state, now);
-    result.startsPerOwn = startsPerOwn_;
-    if (state.report && now - state.reportAt < OldestReport) {
-        result.report = faded(*state.report, now - state.reportAt);
+    const auto customer = state.inFlightByCustomer.find(criteria.customer);
+    result.customerInFlight = customer == state.inFlightByCustomer.end() ? 0 : customer->second;
+    result.recentStarts = decayed(state, now);
+    result.fleetStartsPerLocalStart = fleetStartsPerLocalStart_;
+    if (state.report && now - state.reportAt < MaxReportAge) {
+        result.report = decayed(*state.report, now - state.reportAt);
     }
-    result.excluded = contains(question.exclude, vm.instance);
-    result.hostsSuspect = contains(question.suspectServers, vm.instance);
+    result.excluded = contains(criteria.exclude, vm.instance);
+    result.hostsSuspect = contains(criteria.serversWithSuspects, vm.instance);
     // Only a first attempt finds out whether a server that failed is back, one a second; a retry goes to a sound one.
     // NOTE A dead server looks idle beside the load that others report, and would draw all first attempts at once.
-    const bool isRetry = !question.exclude.empty();
-    const bool isProbed = state.recentAt >= state.avoidUntil && now - state.recentAt < FirstAvoidance;
-    const bool isDoubted = state.failuresInRow > 0 && (isRetry || isProbed);
-    result.failedRecently = now < state.avoidUntil || isDoubted || members_->isUnreachable(vm.instance);
+    const bool isRetry = !criteria.exclude.empty();
+    const bool wasProbed = state.recentStartsAt >= state.avoidUntil && now - state.recentStartsAt < InitialBackoff;
+    const bool isOnTrial = state.consecutiveFailures > 0 && (isRetry || wasProbed);
+    result.failedRecently = now < state.avoidUntil || isOnTrial || members_->isUnreachable(vm.instance);
     return result;
 }
 
 std::optional<std::size_t> Router::chooseAmong(
-    const ServerGroup &group, std::span<const std::size_t> servers, std::size_t nearPrefix, const RouteQuestion &question, bool onlySound)
+    const ServerGroup &group, std::span<const std::size_t> servers, std::size_t prefixServerCount, const RouteCriteria &criteria, bool onlyHealthy)
 {
     std::vector<Candidate> candidates;
     candidates.reserve(servers.size());
     for (std::size_t i = 0; i < servers.size(); i++) {
-        Candidate one = candidate(group, servers[i], question);
-        one.excluded = one.excluded || (onlySound && one.failedRecently);
-        const double byRank = i < nearPrefix ? cachedShareByRank(i) : 0;
-        one.cachedShare = question.prefixHash == 0 ? 0 : hints_.share(group.vms[servers[i]].instance, question.prefixHash, clock_->now()).value_or(byRank);
+        Candidate one = candidate(group, servers[i], criteria);
+        one.excluded = one.excluded || (onlyHealthy && one.failedRecently);
+        const double expectedShare = i < prefixServerCount ? expectedCachedShare(i) : 0;
+        one.cachedShare =
+            criteria.prefixHash == 0 ? 0 : hints_.share(group.vms[servers[i]].instance, criteria.prefixHash, clock_->now()).value_or(expectedShare);
         candidates.push_back(one);
     }
-    const auto best = routing::choose(candidates, question);
+    const auto best = routing::choose(candidates, criteria);
     if (!best) {
         return std::nullopt;
     }
     return servers[*best];
 }
 
-std::optional<membership::Vm> Router::choose(const RouteQuestion &question)
+std::optional<membership::Vm> Router::choose(const RouteCriteria &criteria)
 {
-    const ServerGroup *group = index_.find(question.role, question.name);
+    const ServerGroup *group = index_.find(criteria.role, criteria.name);
     if (!group) {
         return std::nullopt;
     }
-    const Sample sample = sampleServers(group->ring, question.prefixHash, random_);
+    const Sample sample = sampleServers(group->ring, criteria.prefixHash, random_);
     // A suspect needs the emptiest server of all, which is rare enough to look at each.
-    auto best = question.alone ? std::nullopt : chooseAmong(*group, sample.servers, sample.nearPrefix, question, true);
+    auto best = criteria.preferIdleServer ? std::nullopt : chooseAmong(*group, sample.servers, sample.prefixServerCount, criteria, true);
     if (!best) {
         // All of the sample failed or were tried: look at every server, sound ones first.
         std::vector<std::size_t> all(group->vms.size());
         std::iota(all.begin(), all.end(), std::size_t{0});
-        best = chooseAmong(*group, all, 0, question, false);
+        best = chooseAmong(*group, all, 0, criteria, false);
     }
     if (!best) {
         return std::nullopt;
@@ -135,11 +136,11 @@
     ServerState &state = *index_.state(instance);
     const TimePoint now = clock_->now();
     state.inFlight++;
-    state.recentStarts = faded(state, now) + 1;
-    state.recentAt = now;
-    const auto found = state.byCustomer.find(customer);
-    if (found == state.byCustomer.end()) {
-        state.byCustomer.emplace(std::string(customer), 1);
+    state.recentStarts = decayed(state, now) + 1;
+    state.recentStartsAt = now;
+    const auto found = state.inFlightByCustomer.find(customer);
+    if (found == state.inFlightByCustomer.end()) {
+        state.inFlightByCustomer.emplace(std::string(customer), 1);
     } else {
         found->second++;
     }
@@ -148,16 +149,16 @@
 void Router::finished(const std::string &instance, AttemptEnd end, std::string_view customer)
 {
     ServerState &state = *index_.state(instance);
-    const auto found = state.byCustomer.find(customer);
-    if (found == state.byCustomer.end()) {
+    const auto found = state.inFlightByCustomer.find(customer);
+    if (found == state.inFlightByCustomer.end()) {
         return;
     }
     state.inFlight--;
     if (--found->second == 0) {
-        state.byCustomer.erase(found);
+        state.inFlightByCustomer.erase(found);
     }
     if (end == AttemptEnd::Answered) {
-        state.failuresInRow = 0;
+        state.consecutiveFailures = 0;
         state.avoidUntil = TimePoint();
     } else if (end == AttemptEnd::Failed || end == AttemptEnd::Refused) {
         avoid(instance);
@@ -172,8 +173,8 @@
         // The failures of one moment count once.
         return;
     }
-    state.avoidUntil = now + FirstAvoidance * (1U << std::min(state.failuresInRow, MostDoublings));
-    state.failuresInRow++;
+    state.avoidUntil = now + InitialBackoff * (1U << std::min(state.consecutiveFailures, MaxBackoffDoublings));
+    state.consecutiveFailures++;
 }
 
 void Router::noteLoad(const std::string &instance, const LoadReport &report, TimePoint at)
--- a/src/routing/internal/serverring.cpp
+++ b/src/routing/internal/serverring.cpp
@@ -10,9 +10,9 @@
 namespace {
 
 constexpr std::size_t PointsPerServer = 16;
-constexpr std::size_t NearPrefix = 3;
-constexpr std::size_t AtRandom = 3;
-constexpr std::array<double, NearPrefix> ShareByRank{0.6, 0.4, 0.25};
+constexpr std::size_t PrefixServers = 3;
+constexpr std::size_t RandomServers = 3;
+constexpr std::array<double, PrefixServers> ShareByRank{0.6, 0.4, 0.25};
 
 void addOnce(std::vector<std::size_t> &servers, std::size_t server)
 {
@@ -61,10 +61,10 @@
 {
     Sample sample;
     if (prefixHash != 0) {
-        sample.servers = ring.nearest(prefixHash, NearPrefix);
-        sample.nearPrefix = sample.servers.size();
+        sample.servers = ring.nearest(prefixHash, PrefixServers);
+        sample.prefixServerCount = sample.servers.size();
     }
-    const std::size_t wanted = std::min(ring.size(), sample.nearPrefix + AtRandom);
+    const std::size_t wanted = std::min(ring.size(), sample.prefixServerCount + RandomServers);
     if (wanted == ring.size()) {
         for (std::size_t i = 0; i < ring.size(); i++) {
             addOnce(sample.servers, i);
@@ -78,7 +78,7 @@
     return sample;
 }
 
-double cachedShareByRank(std::size_t rank)
+double expectedCachedShare(std::size_t rank)
 {
     return rank < ShareByRank.size() ? ShareByRank[rank] : 0;
 }
--- a/src/routing/prefixhints.h
+++ b/src/routing/prefixhints.h
@@ -27,7 +27,7 @@
         double share = 0;
         TimePoint at;
     };
-    std::list<Hint> byAge_; ///< Last noted first.
+    std::list<Hint> byRecency_; ///< Last noted first.
     std::unordered_map<std::uint64_t, std::list<Hint>::iterator> hints_;
 };
 
--- a/src/routing/router.h
+++ b/src/routing/router.h
@@ -19,7 +19,7 @@
     static std::shared_ptr<Router> create(const Clock &clock, std::shared_ptr<membership::Members> members);
 
     /// A live server, or none. Does not count it as in flight yet. Looks at a bounded sample of the servers.
-    std::optional<membership::Vm> choose(const RouteQuestion &question);
+    std::optional<membership::Vm> choose(const RouteCriteria &criteria);
     /// An attempt of @p customer at @p instance starts.
     void started(const std::string &instance, std::string_view customer = {});
     /// It ended. Call once for each started(), with the same customer.
@@ -35,12 +35,12 @@
 
 private:
     Router() = default;
-    Candidate candidate(const ServerGroup &group, std::size_t server, const RouteQuestion &question) const;
+    Candidate candidate(const ServerGroup &group, std::size_t server, const RouteCriteria &criteria) const;
     std::optional<std::size_t> chooseAmong(
-        const ServerGroup &group, std::span<const std::size_t> servers, std::size_t nearPrefix, const RouteQuestion &question, bool onlySound);
+        const ServerGroup &group, std::span<const std::size_t> servers, std::size_t prefixServerCount, const RouteCriteria &criteria, bool onlyHealthy);
     void refresh();
     const Clock *clock_ = nullptr;
-    double startsPerOwn_ = 1;
+    double fleetStartsPerLocalStart_ = 1;
     std::shared_ptr<membership::Members> members_;
     ServerIndex index_;
     PrefixHints hints_;
--- a/src/routing/routingtypes.h
+++ b/src/routing/routingtypes.h
@@ -19,7 +19,7 @@
 };
 
 /// What one request asks of routing.
-struct RouteQuestion {
+struct RouteCriteria {
     membership::VmRole role = membership::VmRole::Model;
     std::string name; ///< Of the model or service.
     std::string customer;
@@ -28,8 +28,8 @@
     std::int64_t promptTokens = 0; ///< Estimate; what a server without the prefix in its cache computes.
     Urgency urgency = Urgency::Normal;
     std::vector<std::string> avoidZones; ///< Zones where an attempt of this request just failed.
-    std::vector<std::string> suspectServers; ///< Instances where a request runs that is suspected of crashing servers.
-    bool alone = false; ///< The request is suspected of crashing servers: prefer an empty one.
+    std::vector<std::string> serversWithSuspects; ///< Instances where a request runs that is suspected of crashing servers.
+    bool preferIdleServer = false; ///< The request is suspected of crashing servers: prefer an empty one.
 };
 
 /// A server's own report of its load. It is some seconds old when it is used.
@@ -46,7 +46,7 @@
     std::uint32_t inFlight = 0; ///< Of this VM; exact.
     std::uint32_t customerInFlight = 0; ///< Of this VM and this customer; exact.
     double recentStarts = 0; ///< Of this VM, too recent to be in the report; fades with the report's lag.
-    double startsPerOwn = 1; ///< Recent starts of all VMs that one of ours stands for; see startsPerOwn().
+    double fleetStartsPerLocalStart = 1; ///< Recent starts of all VMs that one of ours stands for; see startsPerOwn().
     std::optional<LoadReport> report;
     double cachedShare = 0; ///< Estimate of the prompt's share in the server's prefix cache, 0 to 1.
     bool hostsSuspect = false; ///< See RouteQuestion::suspectServers.
--- a/src/routing/serverindex.h
+++ b/src/routing/serverindex.h
@@ -15,12 +15,12 @@
 /// What this VM knows of one server from its own attempts and from load reports.
 struct ServerState {
     std::uint32_t inFlight = 0;
-    std::map<std::string, std::uint32_t, std::less<>> byCustomer; ///< Part of inFlight.
+    std::map<std::string, std::uint32_t, std::less<>> inFlightByCustomer; ///< Part of inFlight.
     double recentStarts = 0; ///< As of recentAt; fades.
-    TimePoint recentAt;
+    TimePoint recentStartsAt;
     std::optional<LoadReport> report;
     TimePoint reportAt;
-    std::uint32_t failuresInRow = 0;
+    std::uint32_t consecutiveFailures = 0;
     TimePoint avoidUntil;
 };
 
--- a/src/routing/serverring.h
+++ b/src/routing/serverring.h
@@ -35,13 +35,13 @@
 /// The servers one decision looks at: first those near the prefix, then some at random. All of them when there are few.
 struct Sample {
     std::vector<std::size_t> servers;
-    std::size_t nearPrefix = 0; ///< The first so many are near the prefix, nearest first.
+    std::size_t prefixServerCount = 0; ///< The first so many are near the prefix, nearest first.
 };
 
 Sample sampleServers(const ServerRing &ring, std::uint64_t prefixHash, Random &random);
 
 /// What share of a prompt is likely cached at the server that is @p rank-th nearest to it, when nothing else is known:
 /// the other VMs send the same prefix there too.
-double cachedShareByRank(std::size_t rank);
+double expectedCachedShare(std::size_t rank);
 
 } // namespace cardamomlift::routing
--- a/src/routing/tests/router_test.cpp
+++ b/src/routing/tests/router_test.cpp
@@ -22,8 +22,8 @@
 }
 
 /// One entry VM's router over engines in two zones.
-struct World {
-    explicit World(int engines, const std::string &self = "entry-1")
+struct RouterHarness {
+    explicit RouterHarness(int engines, const std::string &self = "entry-1")
     {
         for (int i = 0; i < engines; i++) {
             list.push_back(engine(i, "zone-" + std::to_string(i % 2)));
@@ -31,60 +31,60 @@
         members = membership::Members::create(self);
         members->applyList(list);
         router = Router::create(clock, members);
-        question.name = "model";
-        question.customer = "customer";
-        question.promptTokens = 2000;
+        criteria.name = "model";
+        criteria.customer = "customer";
+        criteria.promptTokens = 2000;
     }
 
     ManualClock clock;
     std::vector<membership::Vm> list;
     std::shared_ptr<membership::Members> members;
     std::shared_ptr<Router> router;
-    RouteQuestion question;
+    RouteCriteria criteria;
 };
 
 } // namespace
 
 TEST(Router, LeavesServersThatFailedAloneForAWhile)
 {
-    World world(6);
+    RouterHarness harness(6);
     for (const char *dead : {"engine-0", "engine-2", "engine-4"}) {
-        world.router->started(dead, "customer");
-        world.router->finished(dead, AttemptEnd::Failed, "customer");
+        harness.router->started(dead, "customer");
+        harness.router->finished(dead, AttemptEnd::Failed, "customer");
     }
     for (int i = 0; i < 100; i++) {
         // The sound ones are busy, and chosen all the same.
-        const auto vm = world.router->choose(world.question);
+        const auto vm = harness.router->choose(harness.criteria);
         ASSERT_TRUE(vm);
         EXPECT_EQ(vm->zone, "zone-1");
-        world.router->started(vm->instance, "customer");
+        harness.router->started(vm->instance, "customer");
     }
     // Later a first attempt looks whether they are back; a retry does not.
-    world.clock.advance(std::chrono::seconds(2));
-    EXPECT_EQ(world.router->choose(world.question)->zone, "zone-0");
-    world.question.exclude = {"engine-1"};
-    EXPECT_EQ(world.router->choose(world.question)->zone, "zone-1");
+    harness.clock.advance(std::chrono::seconds(2));
+    EXPECT_EQ(harness.router->choose(harness.criteria)->zone, "zone-0");
+    harness.criteria.exclude = {"engine-1"};
+    EXPECT_EQ(harness.router->choose(harness.criteria)->zone, "zone-1");
 }
 
 TEST(Router, SamePrefixGoesToTheSameServersFromEveryEntryVm)
 {
     std::set<std::string> chosen;
     for (int entry = 0; entry < 8; entry++) {
-        World world(100, "entry-" + std::to_string(entry));
-        world.question.prefixHash = 12345;
-        chosen.insert(world.router->choose(world.question)->instance);
+        RouterHarness harness(100, "entry-" + std::to_string(entry));
+        harness.criteria.prefixHash = 12345;
+        chosen.insert(harness.router->choose(harness.criteria)->instance);
     }
     EXPECT_EQ(chosen.size(), 1U);
 }
 
 TEST(Router, ABurstOfOneCustomerSpreads)
 {
-    World world(12);
-    world.question.prefixHash = 12345;
+    RouterHarness harness(12);
+    harness.criteria.prefixHash = 12345;
     std::map<std::string, int> perServer;
     for (int i = 0; i < 60; i++) {
-        const auto vm = world.router->choose(world.question);
-        world.router->started(vm->instance, "customer");
+        const auto vm = harness.router->choose(harness.criteria);
+        harness.router->started(vm->instance, "customer");
         perServer[vm->instance]++;
     }
     EXPECT_GE(perServer.size(), 8U);
@@ -95,17 +95,17 @@
 
 TEST(Router, LeavingServersGetNothing)
 {
-    World world(6);
+    RouterHarness harness(6);
     for (const char *leaving : {"engine-0", "engine-2", "engine-4"}) {
-        world.members->markLeaving(leaving);
+        harness.members->markLeaving(leaving);
     }
     for (int i = 0; i < 50; i++) {
-        EXPECT_EQ(world.router->choose(world.question)->zone, "zone-1");
+        EXPECT_EQ(harness.router->choose(harness.criteria)->zone, "zone-1");
     }
     for (const char *leaving : {"engine-1", "engine-3", "engine-5"}) {
-        world.members->markLeaving(leaving);
+        harness.members->markLeaving(leaving);
     }
-    EXPECT_FALSE(world.router->choose(world.question));
+    EXPECT_FALSE(harness.router->choose(harness.criteria));
 }
 
 TEST(Choose, IdleReportOfASecondAgoDrawsNoHerd)
@@ -114,9 +114,9 @@
     std::vector<Candidate> candidates(2);
     candidates[0].report = LoadReport{0, 0, 0};
     candidates[0].recentStarts = 5;
-    candidates[0].startsPerOwn = startsPerOwn(8);
+    candidates[0].fleetStartsPerLocalStart = fleetStartsPerLocalStart(8);
     candidates[1].report = LoadReport{8, 0, 0};
-    EXPECT_EQ(choose(candidates, RouteQuestion()), 1U);
+    EXPECT_EQ(choose(candidates, RouteCriteria()), 1U);
 }
 
 TEST(Choose, PriceCountsForWhatMayWait)
@@ -125,11 +125,11 @@
     candidates[0].microsPerHour = 1000;
     candidates[0].inFlight = 5;
     candidates[1].microsPerHour = 2000;
-    RouteQuestion question;
-    question.urgency = Urgency::Deferrable;
-    EXPECT_EQ(choose(candidates, question), 0U);
-    question.urgency = Urgency::Urgent;
-    EXPECT_EQ(choose(candidates, question), 1U);
+    RouteCriteria criteria;
+    criteria.urgency = Urgency::Deferrable;
+    EXPECT_EQ(choose(candidates, criteria), 0U);
+    criteria.urgency = Urgency::Urgent;
+    EXPECT_EQ(choose(candidates, criteria), 1U);
 }
 
 TEST(PrefixHints, LateWordsDoNotReplaceNewerOnes)
@@ -152,49 +152,49 @@
 
 TEST(Router, AServerThatOtherVmsCanNotReachIsLeftOutUnlessAllAre)
 {
-    World world(2);
-    const WallTime until = world.clock.wallNow() + std::chrono::seconds(10);
-    world.members = membership::Members::create("entry-1", &world.clock);
-    world.members->applyList(world.list);
-    world.router = Router::create(world.clock, world.members);
-    world.members->setUnreachable("engine-0", until);
+    RouterHarness harness(2);
+    const WallTime until = harness.clock.wallNow() + std::chrono::seconds(10);
+    harness.members = membership::Members::create("entry-1", &harness.clock);
+    harness.members->applyList(harness.list);
+    harness.router = Router::create(harness.clock, harness.members);
+    harness.members->setUnreachable("engine-0", until);
     for (int i = 0; i < 20; i++) {
-        EXPECT_EQ(world.router->choose(world.question)->instance, "engine-1");
-        world.router->started("engine-1", "customer");
+        EXPECT_EQ(harness.router->choose(harness.criteria)->instance, "engine-1");
+        harness.router->started("engine-1", "customer");
     }
-    world.members->setUnreachable("engine-1", until);
-    EXPECT_TRUE(world.router->choose(world.question));
-    world.clock.advance(std::chrono::seconds(11));
-    EXPECT_EQ(world.router->choose(world.question)->instance, "engine-0");
+    harness.members->setUnreachable("engine-1", until);
+    EXPECT_TRUE(harness.router->choose(harness.criteria));
+    harness.clock.advance(std::chrono::seconds(11));
+    EXPECT_EQ(harness.router->choose(harness.criteria)->instance, "engine-0");
 }
 
 TEST(Router, AReportLosesItsWorthWithItsAge)
 {
-    World world(2);
-    world.router->noteLoad("engine-0", {10, 0, 0}, world.clock.now());
-    world.router->noteLoad("engine-1", {0, 0, 0}, world.clock.now());
+    RouterHarness harness(2);
+    harness.router->noteLoad("engine-0", {10, 0, 0}, harness.clock.now());
+    harness.router->noteLoad("engine-1", {0, 0, 0}, harness.clock.now());
     for (int i = 0; i < 2; i++) {
-        world.router->started("engine-1", "customer");
+        harness.router->started("engine-1", "customer");
     }
-    EXPECT_EQ(world.router->choose(world.question)->instance, "engine-1");
+    EXPECT_EQ(harness.router->choose(harness.criteria)->instance, "engine-1");
     // Its own requests are certain; the ten were counted four seconds ago.
-    world.clock.advance(std::chrono::seconds(4));
-    EXPECT_EQ(world.router->choose(world.question)->instance, "engine-0");
+    harness.clock.advance(std::chrono::seconds(4));
+    EXPECT_EQ(harness.router->choose(harness.criteria)->instance, "engine-0");
 }
 
 TEST(Router, OneAttemptASecondLooksWhetherADeadServerIsBack)
 {
-    World world(2);
-    world.router->noteLoad("engine-1", {30, 0, 0}, world.clock.now());
-    world.router->started("engine-0", "customer");
-    world.router->finished("engine-0", AttemptEnd::Failed, "customer");
+    RouterHarness harness(2);
+    harness.router->noteLoad("engine-1", {30, 0, 0}, harness.clock.now());
+    harness.router->started("engine-0", "customer");
+    harness.router->finished("engine-0", AttemptEnd::Failed, "customer");
     for (int second = 0; second < 3; second++) {
-        world.clock.advance(std::chrono::seconds(2));
-        world.router->noteLoad("engine-1", {30, 0, 0}, world.clock.now());
+        harness.clock.advance(std::chrono::seconds(2));
+        harness.router->noteLoad("engine-1", {30, 0, 0}, harness.clock.now());
         int atDead = 0;
         for (int i = 0; i < 10; i++) {
-            const auto vm = world.router->choose(world.question);
-            world.router->started(vm->instance, "other");
+            const auto vm = harness.router->choose(harness.criteria);
+            harness.router->started(vm->instance, "other");
             atDead += vm->instance == "engine-0" ? 1 : 0;
         }
         EXPECT_EQ(atDead, 1);
