--- a/src/admission/admission.h
+++ b/src/admission/admission.h
@@ -17,29 +17,29 @@
 
 using DecisionHandler = std::function<void(AdmissionDecision decision)>;
 
-/// What admission works with. Without @c limits or @c spending that check is left out.
+/// What Admission depends on. Without @c limits or @c spending that check is skipped.
 struct AdmissionTools {
     EventLoop *loop = nullptr;
-    std::size_t maxOpen = 0; ///< Requests held at once, waiting ones too.
+    std::size_t maxOpen = 0; ///< Maximum number of requests that run or wait at once.
     std::shared_ptr<limits::CustomerLimiter> limits;
     std::shared_ptr<spending::SpendingKeeper> spending;
     std::shared_ptr<metrics::Metrics> metrics; ///< May be null.
 };
 
-/// Decides which requests come in, in which order, and which are told at once that they can't: first the customer's
-/// limits, then its spending bound, then room at the backend servers.
+/// Decides which requests are admitted, in which order, and which are refused at once. Checks the customer's limits first,
+/// then its spending bound, then the capacity of the backend servers.
 class Admission : public std::enable_shared_from_this<Admission>
 {
 public:
     static std::shared_ptr<Admission> create(AdmissionTools tools);
 
-    /// @p handler is called once, perhaps from inside this call.
+    /// Calls @p handler once with the decision, possibly before this call returns.
     void requestAdmission(AdmissionParameters parameters, DecisionHandler handler);
-    /// The first token of an admitted model request has come. Optional; once.
+    /// Reports the first token of an admitted model request. Optional; only the first call for a ticket counts.
     void onFirstToken(std::uint64_t ticket);
-    /// Ends an admitted request. Call once for each ticket.
+    /// Ends an admitted request. To be called once for each ticket.
     void release(std::uint64_t ticket, const Usage &usage);
-    /// Requests that run.
+    /// Number of running requests.
     std::size_t openRequests() const;
     std::size_t waitingRequests() const;
 
@@ -63,7 +63,7 @@
     void returnReservations(const RequestPtr &request);
     AdmissionTools tools_;
     std::uint64_t nextTicket_ = 1;
-    std::size_t undecided_ = 0; ///< Asked and not yet decided.
+    std::size_t undecided_ = 0; ///< Number of requests without a decision yet, including waiting ones.
     std::map<std::string, Target, std::less<>> targets_;
     std::unordered_map<std::uint64_t, RequestPtr> open_;
     std::unordered_map<std::uint64_t, RequestPtr> waiting_;
--- a/src/admission/concurrencylimit.h
+++ b/src/admission/concurrencylimit.h
@@ -6,47 +6,49 @@
 
 namespace cardamomlift::admission {
 
-/// What a service class promises; 0: nothing.
+/// The latency targets of a service class; 0: no target.
 struct LatencyTargets {
     Duration firstToken{0};
     Duration betweenTokens{0};
 };
 
-/// How many requests this VM lets run at one model or service at once. It follows the latency that is observed, so it
-/// settles at this VM's share of what the backend servers can take, however many VMs there are.
+/// Adaptive limit on the requests that this VM runs at one model or service at the same time. It follows the observed
+/// latency (additive increase, multiplicative decrease), so it converges to this VM's share of the capacity of the
+/// backend servers without knowing how many entry VMs there are.
 struct ConcurrencyLimit {
     double limit = 0;
     std::int64_t inFlight = 0;
     std::int64_t deferrableInFlight = 0;
-    double completionsPerSecond = 0; ///< Smoothed rate at which requests end; 0: not known yet.
-    double meanDurationSeconds = 0; ///< Smoothed time that requests run.
+    double completionsPerSecond = 0; ///< Smoothed rate at which requests complete; 0: not known yet.
+    double meanDurationSeconds = 0; ///< Smoothed run time of requests.
     TimePoint lastCompletionAt;
     TimePoint lastDecreaseAt;
-    double nonDeferrablePeak = 0; ///< Recent peak of what is not deferrable, in flight or waiting; decays.
+    double nonDeferrablePeak = 0; ///< Decaying peak of the non-deferrable requests in flight and waiting.
     TimePoint nonDeferrablePeakAt;
-    LatencyTargets strictestTargets; ///< Of the classes seen of late: the room must suit the most demanding one.
+    LatencyTargets strictestTargets; ///< Of recently admitted requests: the limit must suit the most demanding class.
     TimePoint strictestTargetsAt;
 };
 
 ConcurrencyLimit initialConcurrencyLimit(TimePoint now);
-/// Notes the targets of a request that is let in.
+/// Records the latency targets of an admitted request.
 void recordTargets(ConcurrencyLimit &concurrency, const LatencyTargets &targets, TimePoint now);
-/// Takes in the latency of one first token, or of a service's answer. Additive growth while the room is in use and the
-/// latency is well within the target; a multiplicative cut when it comes near it, at most one until a request that was
-/// let in after it has been answered.
+/// Updates the limit by the latency of a first token, or of a service's answer: additive increase while the limit is
+/// mostly used and the latency is well below the target, multiplicative decrease when the latency comes near the target.
+/// After a decrease there is no other one until a request that was admitted after it has been answered.
 void recordFirstToken(ConcurrencyLimit &concurrency, TimePoint admittedAt, TimePoint now);
-/// The same for the mean time between the tokens of one answer.
+/// Updates the limit likewise by the mean time between the tokens of one answer.
 void recordTokenInterval(ConcurrencyLimit &concurrency, Duration betweenTokens, TimePoint admittedAt, TimePoint now);
-/// Notes a request that is not deferrable, with how many of these wait: deferrable work leaves room for their recent
-/// peak.
+/// Records the arrival of a non-deferrable request that has @p waiting others before it. Deferrable requests leave
+/// capacity for the recent peak of this demand.
 void recordDemand(ConcurrencyLimit &concurrency, std::size_t waiting, TimePoint now);
-/// A request ended that ran for @p ran.
+/// Records that a request ended after running for @p duration.
 void recordCompletion(ConcurrencyLimit &concurrency, Duration duration, TimePoint now);
 
-/// Whether one more may run.
+/// Returns whether one more request may run.
 bool hasCapacity(const ConcurrencyLimit &concurrency, bool isDeferrable);
-/// Time until @p ahead requests have been let in before; 0 if nothing is known yet. The shorter of two estimates, by
-/// the rate of late and by the time requests run: to refuse what would have been in time is worse than to let it wait.
+/// Returns the estimated wait of a request that has @p ahead others before it; 0 if nothing is known yet. It is the shorter
+/// of two estimates, by the recent completion rate and by the mean run time: refusing a request that would have been in
+/// time is worse than queueing one that will not be.
 Duration expectedWait(const ConcurrencyLimit &concurrency, std::size_t ahead);
 
 } // namespace cardamomlift::admission
--- a/src/admission/internal/admission.cpp
+++ b/src/admission/internal/admission.cpp
@@ -21,12 +21,12 @@
     if (!parameters.isModel) {
         return spending::callCost(prices, 1);
     }
-    // A stream that was cut off early never told its prompt's tokens: then the most they can be.
+    // A stream that broke early never reported the tokens of its prompt: the upper bound is charged.
     const std::int64_t prompt = usage.promptTokens > 0 ? usage.promptTokens : parameters.maxPromptTokens;
     return spending::tokenCost(prices, prompt + usage.outputTokens);
 }
 
-/// Of tokensPerMinute.
+/// Returns the tokens that count against tokensPerMinute.
 std::int64_t chargedTokens(const AdmissionParameters &parameters, const Usage &usage)
 {
     if (usage.continuesOnPeer) {
@@ -57,7 +57,7 @@
 
 } // namespace
 
-/// One request, from ask() to its refusal or release.
+/// One request, from requestAdmission() to its refusal or release.
 struct Admission::Request {
     AdmissionParameters parameters;
     DecisionHandler handler;
@@ -99,7 +99,7 @@
     }
 }
 
-// What can be told before anything of the customer's limits is used.
+// Makes the checks that need no quota of the customer, so that a refused request uses none.
 bool Admission::refuseEarly(const RequestPtr &request)
 {
     if (open_.size() + undecided_ > tools_.maxOpen) {
@@ -220,8 +220,8 @@
 void Admission::admitWaiting(Target &target)
 {
     while (target.queue.size > 0) {
-        const bool hasCapacityForAll = hasCapacity(target.concurrency, false);
-        const auto next = dequeue(target.queue, {hasCapacityForAll, hasCapacityForAll, hasCapacity(target.concurrency, true)});
+        const bool hasNonDeferrableCapacity = hasCapacity(target.concurrency, false);
+        const auto next = dequeue(target.queue, {hasNonDeferrableCapacity, hasNonDeferrableCapacity, hasCapacity(target.concurrency, true)});
         if (!next) {
             return;
         }
@@ -241,7 +241,7 @@
     std::exchange(request->handler, nullptr)({false, reason, retryAfter, 0});
 }
 
-// The request never ran: nothing of limits and spending is used but its place in the rate.
+// For a request that never ran: returns its tokens, its slot and its spending reservation, but not its place in requestsPerSecond.
 void Admission::returnReservations(const RequestPtr &request)
 {
     if (tools_.limits) {
@@ -289,7 +289,7 @@
         tools_.limits->release(parameters.contract->contract.customer, parameters.estimatedTokens - chargedTokens(parameters, usage));
     }
     if (tools_.spending) {
-        // NOTE The VM that goes on with a request has no reservation: what it may still use is spent here.
+        // NOTE The VM that took a request over has no reservation for it, so the whole reservation is spent here.
         tools_.spending->settle(request->reservation, usage.continuesOnPeer ? request->reservation.micros : costOf(parameters, usage));
     }
     admitWaiting(target);
--- a/src/admission/internal/admissiontypes.cpp
+++ b/src/admission/internal/admissiontypes.cpp
@@ -6,19 +6,19 @@
 {
     switch (reason) {
     case metrics::RefusalReason::TooManyRequests:
-        return "The contract's requestsPerSecond is used up, over all entry VMs.";
+        return "The contract's requestsPerSecond is used up across all entry VMs.";
     case metrics::RefusalReason::TooManyOpen:
-        return "The contract's openRequests are all in use, over all entry VMs.";
+        return "The contract's openRequests are all in use across all entry VMs.";
     case metrics::RefusalReason::TokenLimit:
-        return "The contract's tokensPerMinute leave no room for the prompt and the most output of this request.";
+        return "The contract's tokensPerMinute leave no room for the prompt and the maximum output of this request.";
     case metrics::RefusalReason::SpendingBound:
-        return "The contract's spending for this UTC day leaves no room for the most that this request may cost.";
+        return "The contract's spending for this UTC day leaves no room for the maximum cost of this request.";
     case metrics::RefusalReason::DeadlineImpossible:
-        return "There is no room for this request within the time its class may wait.";
+        return "There is no capacity for this request within the time that its class may wait.";
     case metrics::RefusalReason::TableDown:
-        return "The spending bound can't be checked now; the request was not run.";
+        return "The spending bound can't be checked now; the request did not run.";
     default:
-        return "This entry VM has no room for another request.";
+        return "This entry VM has no capacity for another request.";
     }
 }
 
--- a/src/admission/internal/concurrencylimit.cpp
+++ b/src/admission/internal/concurrencylimit.cpp
@@ -12,17 +12,17 @@
 constexpr double MinLimit = 4;
 constexpr double MaxLimit = 4096;
 constexpr double DecreaseFactor = 0.85;
-constexpr double InUseShare = 0.8;
-constexpr std::int64_t DecreaseAbovePercent = 60; ///< Of the target: what waits for room and the slowest of 20 need the rest.
-constexpr std::int64_t IncreaseBelowPercent = 40;
+constexpr double InUseShare = 0.8; ///< The limit counts as in use above this share of it.
+constexpr std::int64_t DecreaseAbovePercent = 60; ///< Of the target; the rest is margin for queueing and for the slowest of 20 requests.
+constexpr std::int64_t IncreaseBelowPercent = 40; ///< Of the target.
 constexpr Duration StrictestTargetsTtl = std::chrono::minutes(1);
-constexpr double MaxDeferrableShare = 0.9;
-constexpr double GuaranteedNonDeferrableShare = 0.75; ///< For what is not deferrable.
-constexpr double MaxReservedShare = 0.9;
-constexpr double PeakTimeConstant = 60; ///< Seconds; about as long as deferrable work runs.
-constexpr double RateTimeConstant = 2; ///< Seconds.
-constexpr double DurationSmoothing = 0.1;
-constexpr double MaxGap = 10; ///< Seconds; an idle time says nothing of the rate under load.
+constexpr double MaxDeferrableShare = 0.9; ///< Of the capacity that is not reserved.
+constexpr double GuaranteedNonDeferrableShare = 0.75; ///< Available to non-deferrable requests even while deferrable ones exceed the limit.
+constexpr double MaxReservedShare = 0.9; ///< Reserved for the peak of non-deferrable demand at most.
+constexpr double PeakTimeConstant = 60; ///< In seconds; about as long as deferrable requests run.
+constexpr double RateTimeConstant = 2; ///< In seconds.
+constexpr double DurationSmoothing = 0.1; ///< Weight of the newest run time in the mean.
+constexpr double MaxGap = 10; ///< In seconds; a longer idle period says nothing about the rate under load.
 
 double seconds(Duration duration)
 {
@@ -41,9 +41,9 @@
         return;
     }
     if (latency * 100 > target * DecreaseAbovePercent) {
-        // What was let in before the last cut tells nothing of the room after it.
+        // The latency of a request admitted before the last decrease says nothing about the limit since then.
         if (admittedAt >= concurrency.lastDecreaseAt && now - concurrency.lastDecreaseAt >= concurrency.strictestTargets.firstToken) {
-            // From what was really in flight: a limit far above it would take many cuts to matter.
+            // Starts from the requests in flight: a limit far above them would need many decreases to take effect.
             concurrency.limit = std::max(MinLimit, std::min(concurrency.limit, static_cast<double>(concurrency.inFlight)) * DecreaseFactor);
             concurrency.lastDecreaseAt = now;
         }
@@ -94,7 +94,7 @@
         : concurrency.meanDurationSeconds + DurationSmoothing * (seconds(duration) - concurrency.meanDurationSeconds);
     const double gap = std::clamp(seconds(now - concurrency.lastCompletionAt), 0.0, MaxGap);
     concurrency.lastCompletionAt = now;
-    // An exponential average over time, of impulses of one each.
+    // An exponential moving average over time, in which each completion is an impulse of one.
     concurrency.completionsPerSecond = concurrency.completionsPerSecond * std::max(0.0, 1 - gap / RateTimeConstant) + 1 / RateTimeConstant;
 }
 
@@ -110,7 +110,7 @@
 {
     const bool isBelowLimit = static_cast<double>(concurrency.inFlight) + 1 <= concurrency.limit;
     if (!isDeferrable) {
-        // After a cut, deferrable work that runs on must not keep the rest out.
+        // After a decrease, deferrable requests that are still running must not block the others.
         const auto nonDeferrable = static_cast<double>(concurrency.inFlight - concurrency.deferrableInFlight);
         return isBelowLimit || nonDeferrable + 1 <= concurrency.limit * GuaranteedNonDeferrableShare;
     }
--- a/src/admission/tests/admission_test.cpp
+++ b/src/admission/tests/admission_test.cpp
@@ -34,7 +34,7 @@
         });
     }
 
-    /// Fills the room with requests that run, so that nothing more comes in before one ends.
+    /// Uses up the concurrency limit, so that no other request is admitted before one ends.
     void fillCapacity(std::size_t count = 256)
     {
         for (std::size_t i = 0; i < count; i++) {
@@ -82,7 +82,7 @@
     EXPECT_EQ(order_, (std::vector<std::string>{"status", "normal", "dossier"}));
 }
 
-TEST_F(AdmissionTest, TellsAtOnceWhatCanNotBeInTime)
+TEST_F(AdmissionTest, RefusesAtOnceWhatCanNotBeInTime)
 {
     fillCapacity();
     for (int i = 0; i < 256; i++) {
@@ -90,7 +90,7 @@
         admission_->release(decisions_["filler-" + std::to_string(i)].ticket, {10, 10, true});
         request("again-" + std::to_string(i), Priority::Urgent, 10000);
     }
-    // Two end each second. Ten wait: an eleventh has no chance within a second.
+    // Two requests end each second and ten are waiting, so an eleventh can't be admitted within a second.
     for (int i = 0; i < 10; i++) {
         request("wait-" + std::to_string(i), Priority::Urgent, 60000);
     }
@@ -103,7 +103,7 @@
     EXPECT_EQ(decisions_["no wait"].reason, RefusalReason::Overloaded);
 }
 
-TEST_F(AdmissionTest, RefusesWhenTheWaitIsOver)
+TEST_F(AdmissionTest, RefusesAfterTheMaximumWait)
 {
     fillCapacity();
     request("dossier", Priority::Deferrable, 5000);
@@ -115,7 +115,7 @@
     EXPECT_EQ(admission_->waitingRequests(), 0U);
 }
 
-TEST_F(AdmissionTest, SharesRoomBetweenCustomersByTokens)
+TEST_F(AdmissionTest, SharesCapacityBetweenCustomersByTokens)
 {
     fillCapacity();
     for (int i = 0; i < 8; i++) {
@@ -128,20 +128,20 @@
         releaseOne();
     }
     const auto large = std::count_if(order_.begin(), order_.end(), [](const std::string &name) { return name.starts_with("large"); });
-    EXPECT_EQ(large, 2) << "two of a thousand tokens to eight of 250";
+    EXPECT_EQ(large, 2) << "two requests of 1000 tokens for eight of 250";
 }
 
-TEST_F(AdmissionTest, DeferrableWorkLeavesRoomToUrgentWork)
+TEST_F(AdmissionTest, DeferrableRequestsLeaveCapacityForUrgentOnes)
 {
     for (int i = 0; i < 256; i++) {
         request("dossier-" + std::to_string(i), Priority::Deferrable, 60000);
     }
-    EXPECT_EQ(order_.size(), 230U) << "nine tenths of the room";
+    EXPECT_EQ(order_.size(), 230U) << "nine tenths of the limit";
     request("status", Priority::Urgent, 0);
     EXPECT_EQ(order_.back(), "status");
 }
 
-TEST_F(AdmissionTest, HoldsABoundedNumber)
+TEST_F(AdmissionTest, BoundsTheNumberOfRequests)
 {
     fillCapacity();
     for (int i = 0; i < 1000; i++) {
@@ -151,9 +151,9 @@
     EXPECT_EQ(decisions_["dossier-999"].reason, RefusalReason::Overloaded);
 }
 
-TEST(ConcurrencyLimits, FollowTheLatencyTheyObserve)
+TEST(ConcurrencyLimits, FollowTheObservedLatency)
 {
-    // A server that takes 40 at once within the target; above that the latency grows with what is in flight.
+    // Models a server with constant latency up to 40 requests in flight; above that the latency grows in proportion.
     TimePoint now;
     ConcurrencyLimit concurrency = initialConcurrencyLimit(now);
     recordTargets(concurrency, {std::chrono::milliseconds(500), std::chrono::milliseconds(50)}, now);
@@ -166,17 +166,17 @@
     EXPECT_LE(concurrency.limit, 125);
 }
 
-TEST(ConcurrencyLimits, DeferrableWorkLeavesRoomForTheRecentPeakOfTheRest)
+TEST(ConcurrencyLimits, DeferrableRequestsLeaveCapacityForTheRecentPeakOfOthers)
 {
     TimePoint now;
     ConcurrencyLimit concurrency = initialConcurrencyLimit(now);
     concurrency.limit = 100;
     recordDemand(concurrency, 59, now);
     concurrency.deferrableInFlight = concurrency.inFlight = 36;
-    EXPECT_FALSE(hasCapacity(concurrency, true)) << "sixty of a hundred were asked for";
+    EXPECT_FALSE(hasCapacity(concurrency, true)) << "the recent peak of the others is 60 of 100";
     EXPECT_TRUE(hasCapacity(concurrency, false));
     recordDemand(concurrency, 0, now + std::chrono::minutes(10));
-    EXPECT_TRUE(hasCapacity(concurrency, true)) << "long ago";
+    EXPECT_TRUE(hasCapacity(concurrency, true)) << "the peak has decayed";
     concurrency.deferrableInFlight = concurrency.inFlight = 120;
-    EXPECT_TRUE(hasCapacity(concurrency, false)) << "deferrable work above a limit that was cut keeps nothing else out";
+    EXPECT_TRUE(hasCapacity(concurrency, false)) << "deferrable requests above a decreased limit must not block others";
 }
--- a/src/admission/waitqueue.h
+++ b/src/admission/waitqueue.h
@@ -11,42 +11,42 @@
 
 namespace cardamomlift::admission {
 
-/// One request that waits for room.
+/// A request that waits for capacity.
 struct WaitEntry {
     std::uint64_t ticket = 0;
     std::string customer;
     contract::Priority priority = contract::Priority::Normal;
-    TimePoint deadline; ///< When its wait is over.
-    std::int64_t tokens = 1; ///< Its share of the room, in tokens.
+    TimePoint deadline; ///< When it stops waiting.
+    std::int64_t tokens = 1; ///< Its cost in fair queueing: estimated prompt and output tokens.
 };
 
 inline constexpr std::size_t PriorityCount = 3;
 
-/// The requests of one customer in one priority, the earliest deadline first.
+/// The requests of one customer in one priority, earliest deadline first.
 struct CustomerQueue {
     std::multimap<TimePoint, WaitEntry> entries;
-    std::int64_t startTag = 0; ///< Tokens let in so far, as start-time fair queueing counts them.
+    std::int64_t startTag = 0; ///< Of its next request, in start-time fair queueing: grows by the tokens of each admitted one.
 };
 
 /// The requests of one priority, by customer.
 struct PriorityQueue {
-    std::map<std::string, CustomerQueue> customers; ///< Only those with entries.
-    std::int64_t virtualTime = 0; ///< Of the customer served last: where a new one starts.
+    std::map<std::string, CustomerQueue> customers; ///< Only customers with waiting requests.
+    std::int64_t virtualTime = 0; ///< Start tag of the request admitted last, and of the first one of a new customer.
 };
 
-/// The requests that wait for room at one model or service.
+/// The requests that wait for capacity at one model or service.
 struct WaitQueue {
     std::array<PriorityQueue, PriorityCount> priorities;
     std::size_t size = 0;
 };
 
 void enqueue(WaitQueue &queue, WaitEntry entry);
-/// The request to let in next: by priority, then the customer that had the fewest tokens, then the earliest deadline.
-/// Priorities for which @p mayServe is false are passed over.
+/// Removes and returns the request to admit next: of the highest priority, of the customer with the smallest start tag,
+/// with the earliest deadline. Skips the priorities for which @p isAllowed is false.
 std::optional<WaitEntry> dequeue(WaitQueue &queue, const std::array<bool, PriorityCount> &isAllowed);
-/// Forgets a request; says whether it waited.
+/// Removes a request. Returns false if it was not waiting.
 bool removeEntry(WaitQueue &queue, const WaitEntry &entry);
-/// How many wait that will be let in before a new one of @p priority.
+/// Returns the number of waiting requests that will be admitted before a new one of @p priority.
 std::size_t countAhead(const WaitQueue &queue, contract::Priority priority);
 
 } // namespace cardamomlift::admission
