--- a/src/limits/customerlimiter.h
+++ b/src/limits/customerlimiter.h
@@ -24,7 +24,7 @@
 
 using AcquireHandler = std::function<void(AcquireResult result)>;
 
-/// What a keeper works with.
+/// What a CustomerLimiter depends on.
 struct CustomerLimiterTools {
     EventLoop *loop = nullptr;
     std::shared_ptr<contract::ContractSet> contracts;
@@ -33,18 +33,19 @@
     std::shared_ptr<metrics::Metrics> metrics; ///< May be null.
 };
 
-/// Keeps requestsPerSecond, openRequests and tokensPerMinute of each customer over all entry VMs. For each customer one
-/// entry VM, the grantor, hands out what it holds in its buckets; the others ask it a second ahead of need, so a request
-/// rarely waits for it. A VM that can't reach the grantor uses its even share of the limit.
+/// Enforces requestsPerSecond, openRequests and tokensPerMinute of each customer across all entry VMs. For each customer one
+/// entry VM, the grantor, holds the token buckets and grants quota from them to the others. These prefetch quota for the
+/// next second, so that a request rarely waits for a grant. A VM that can't reach the grantor uses its even share of the
+/// limits.
 class CustomerLimiter : public std::enable_shared_from_this<CustomerLimiter>
 {
 public:
     static std::shared_ptr<CustomerLimiter> create(CustomerLimiterTools tools);
     ~CustomerLimiter();
 
-    /// Takes one request, one open slot and @p tokens. @p handler is called once, perhaps from inside this call.
+    /// Acquires one request, one slot of openRequests and @p tokens. Calls @p handler once, possibly before this call returns.
     void acquire(const contract::ContractInForce &contract, std::int64_t tokens, AcquireHandler handler);
-    /// Ends a request that was let in; @p unusedTokens were taken and not used. Call once for each.
+    /// Ends a request that acquired quota, and returns its @p unusedTokens. To be called once for each.
     void release(const std::string &customer, std::int64_t unusedTokens);
 
 private:
@@ -70,14 +71,14 @@
     void probe(const std::string &instance);
     void tick();
     CustomerLimiterTools tools_;
-    std::vector<std::string> entries_; ///< Live entry VMs that can be reached, this one among them.
-    std::set<std::string> unreachable_; ///< Entry VMs that did not answer a call.
-    std::size_t listedEntryCount_ = 1; ///< Also those that leave: they may still serve.
+    std::vector<std::string> entries_; ///< Live, reachable entry VMs, including this one unless it is leaving.
+    std::set<std::string> unreachable_; ///< Entry VMs that did not answer their last call.
+    std::size_t listedEntryCount_ = 1; ///< Includes leaving entry VMs, which may still serve requests.
     bool hasMajority_ = true;
     TimePoint entriesChangedAt_;
-    std::map<std::string, SharePtr> shares_; ///< By customer: what this VM holds.
-    std::map<std::string, GrantPool> pools_; ///< By customer: what this VM grants.
-    std::uint64_t sequence_ = 0; ///< Of the newest ask, over all customers.
+    std::map<std::string, SharePtr> shares_; ///< By customer: the quota that this VM holds.
+    std::map<std::string, GrantPool> pools_; ///< By customer: the quota that this VM grants.
+    std::uint64_t sequence_ = 0; ///< Of the latest grant request, for any customer.
     std::minstd_rand random_;
     TimePoint nextProbeAt_;
     TimerId tickTimer_ = 0;
--- a/src/limits/grantrules.h
+++ b/src/limits/grantrules.h
@@ -12,22 +12,23 @@
 
 namespace cardamomlift::limits {
 
-/// A customer may send a second's worth of requests, or a minute's worth of tokens, at once.
+/// Bucket parameters of requestsPerSecond and tokensPerMinute. A burst may use the requests of one second, or the tokens of
+/// one minute.
 BucketRate requestRate(const contract::Limits &limits);
 BucketRate tokenRate(const contract::Limits &limits);
-/// The part of @p rate that a VM may use alone while it can't reach the grantor, so that the sum over @p vms holds.
+/// The even share of @p rate that each of @p vms VMs may use without a grantor, so that their sum stays within the limit.
 BucketRate evenShare(const BucketRate &rate, std::size_t vms);
 
 void refill(Bucket &bucket, const BucketRate &rate, TimePoint now);
-/// Time until @p amount is in the bucket; 0 if it never will be.
+/// Returns the time until the bucket holds @p amount; 0 if it never will.
 Duration timeUntil(const Bucket &bucket, const BucketRate &rate, double amount);
 
-/// The entry VM that grants the limits of @p customer: the highest hash of the pair (rendezvous hashing), so a VM that
-/// comes or goes moves only its own customers. Empty if @p instances is.
+/// Returns the entry VM that grants the quota of @p customer; empty if @p instances is empty. Rendezvous hashing chooses it,
+/// so that only the customers of a VM that is added or removed change their grantor.
 std::string_view grantorOf(std::string_view customer, std::span<const std::string> instances);
 
-/// Takes what @p ask wants out of @p pool as far as it is there: what is needed first, and ahead of need only from
-/// plenty.
+/// Answers the grant request of @p instance from @p pool. Grants what is needed as far as available, and prefetches only a
+/// part of what is left.
 wire::GrantReply grantFrom(GrantPool &pool, const contract::Limits &limits, const std::string &instance, const wire::GrantAsk &request, TimePoint now);
 
 } // namespace cardamomlift::limits
--- a/src/limits/internal/customerlimiter.cpp
+++ b/src/limits/internal/customerlimiter.cpp
@@ -14,10 +14,10 @@
 constexpr Duration TickPeriod = std::chrono::milliseconds(500);
 constexpr Duration MaxWait = std::chrono::milliseconds(1500);
 constexpr Duration GrantRetryDelay = std::chrono::milliseconds(100);
-constexpr Duration GrantorChangeTimeout = std::chrono::seconds(3); ///< A grantor that does not grant is taken for new so long.
+constexpr Duration GrantorChangeTimeout = std::chrono::seconds(3); ///< A grantor that stops granting is assumed to have changed: requests wait for the new one.
 constexpr Duration OwnSharePeriod = std::chrono::milliseconds(500);
 constexpr Duration UnusedGrantRetention = std::chrono::seconds(2);
-constexpr Duration UnusedSlotRetention = std::chrono::seconds(10); ///< While slots are plenty; else they go back at once.
+constexpr Duration UnusedSlotRetention = std::chrono::seconds(10); ///< Unless slots are scarce: then unused ones are returned at once.
 constexpr Duration MaxRefusalBackoff = std::chrono::milliseconds(400);
 constexpr Duration SlotRetryAfter = std::chrono::seconds(1);
 constexpr Duration ProbePeriod = std::chrono::seconds(1);
@@ -40,7 +40,7 @@
         wire::GrantAsk request;
         const auto self = weak.lock();
         if (!self || !request.ParseFromString(payload)) {
-            reply(failure(ErrorKind::Invalid, "not a grant ask"));
+            reply(failure(ErrorKind::Invalid, "malformed GrantAsk message"));
             return;
         }
         reply(self->grant(from, request).SerializeAsString());
@@ -142,7 +142,7 @@
     });
 }
 
-// One ask at a time for each customer: it says what is kept, what is given back and what is needed.
+// Sends one grant request at a time for each customer. It states what is kept, what is returned and what is needed.
 void CustomerLimiter::requestGrant(const SharePtr &share)
 {
     if (share->isGrantRequestPending) {
@@ -235,7 +235,7 @@
         allGranted = false;
         entry.handler(share->lastRefusal);
     }
-    // At its limit a customer's VMs must not all ask for each request that is refused.
+    // While a customer is at its limit, the VMs back off instead of sending a grant request for each refused request.
     share->refusalBackoff = allGranted ? InitialRefusalBackoff : std::min(share->refusalBackoff * 2, MaxRefusalBackoff);
     share->refusedUntil = allGranted ? TimePoint() : tools_.loop->now() + share->refusalBackoff;
     if (!share->waiting.empty()) {
@@ -254,8 +254,8 @@
     return {false, metrics::RefusalReason::TokenLimit, share.tokensWait};
 }
 
-// Without a grantor: what the own share allows is let in. With @p mayWait the grantor is only new, and the others wait
-// for it; else they are refused.
+// Without a grantor, admits the waiting requests that fit into this VM's own share. The others are refused, or with
+// @p keepWaiting, if the grantor has probably just changed, wait for its first grant.
 void CustomerLimiter::onGrantorUnavailable(const SharePtr &share, bool keepWaiting)
 {
     const TimePoint now = tools_.loop->now();
@@ -281,7 +281,7 @@
         share.usesOwnShare = true;
         share.ownRequestBucket = {requests.perSecond, now};
         share.ownTokenBucket = {tokenShare.perSecond, now};
-        partLogger("limits")->warn("The grantor does not grant; own share is used. customer={}", share.customer);
+        partLogger("limits")->warn("The grantor does not grant quota; this VM uses its own share of the limits. customer={}", share.customer);
     }
     refill(share.ownRequestBucket, requests, now);
     refill(share.ownTokenBucket, tokenShare, now);
@@ -311,7 +311,7 @@
     const TimePoint now = tools_.loop->now();
     probeUnreachable();
     if (!pools_.empty() && now >= nextProbeAt_) {
-        // A grantor is asked only by those that reach it, so it must look for a cut itself.
+        // A grantor receives requests only from VMs that can reach it, so it must probe others to detect a partition.
         nextProbeAt_ = now + ProbePeriod;
         probeRandom(1);
     }
--- a/src/limits/internal/customerlimitergrantor.cpp
+++ b/src/limits/internal/customerlimitergrantor.cpp
@@ -1,4 +1,4 @@
-// The grantor's side of a keeper: which entry VM grants, and what it grants.
+// The part of CustomerLimiter that chooses the grantor of a customer, and grants quota where this VM is the grantor.
 
 #include "limits/customerlimiter.h"
 
@@ -13,7 +13,7 @@
 
 namespace {
 
-constexpr Duration GrantorWarmUp = std::chrono::seconds(1); ///< Before a new grantor grants: older grants are used up by then.
+constexpr Duration GrantorWarmUp = std::chrono::seconds(1); ///< A new grantor grants nothing for this time, in which grants of the earlier one are used up.
 constexpr std::size_t ProbesAfterTimeout = 4;
 
 } // namespace
@@ -34,7 +34,7 @@
             entries.push_back(vm.instance);
         }
     }
-    // A VM that reaches no more than half of the others may itself be the one that is cut off.
+    // A VM that reaches no more than half of the live entry VMs may itself be partitioned from the rest.
     hasMajority_ = entries.size() * 2 > liveEntries;
     const bool hasChanged = entries != entries_;
     if (hasChanged) {
@@ -43,7 +43,7 @@
     }
     std::erase_if(pools_, [this, &self](const auto &entry) { return grantor(entry.first) != self; });
     for (auto &[customer, pool] : pools_) {
-        // A VM that is no longer listed can run nothing; one that is only cut off may, and keeps its slots.
+        // A VM that is no longer listed runs no requests. One that is only partitioned may, so it keeps its slots.
         std::erase_if(pool.holders, [this, &self](const auto &holder) { return holder.first != self && !tools_.members->find(holder.first); });
     }
     for (const auto &[customer, share] : shares_) {
@@ -62,11 +62,11 @@
 {
     const std::string &customer = request.customer();
     const auto contract = tools_.contracts->find(customer);
-    const std::string_view holder = grantor(customer);
-    if (!contract || holder != tools_.members->self()) {
-        // The asker may know that the grantor is dead before this VM does.
-        if (!holder.empty() && contract) {
-            probe(std::string(holder));
+    const std::string_view grantorInstance = grantor(customer);
+    if (!contract || grantorInstance != tools_.members->self()) {
+        // The requesting VM may have noticed before this one that the grantor is dead.
+        if (!grantorInstance.empty() && contract) {
+            probe(std::string(grantorInstance));
         }
         return {};
     }
@@ -77,7 +77,7 @@
         }
         pool = pools_.emplace(customer, GrantPool()).first;
         pool->second.requests.updatedAt = entriesChangedAt_;
-        // A quarter at once: a minute's tokens may just have been used up at an earlier grantor.
+        // The bucket starts with a quarter of its capacity: the earlier grantor may just have granted the tokens of a whole minute.
         pool->second.tokens = {tokenRate(contract->contract.limits).capacity / 4, entriesChangedAt_};
     }
     return grantFrom(pool->second, contract->contract.limits, instance, request, tools_.loop->now());
@@ -86,13 +86,13 @@
 void CustomerLimiter::markUnreachable(const std::string &instance)
 {
     if (unreachable_.insert(instance).second) {
-        partLogger("limits")->warn("An entry VM does not answer. instance={}", instance);
+        partLogger("limits")->warn("An entry VM does not answer limit requests. instance={}", instance);
         onEntriesChanged();
         probeRandom(ProbesAfterTimeout);
     }
 }
 
-// Tells a peer that is gone from a cut around this VM: each VM that is silent leads to a few more probes.
+// Distinguishes a failed peer from a partition around this VM: each peer that does not answer triggers a few more probes.
 void CustomerLimiter::probeRandom(std::size_t count)
 {
     std::vector<std::string> targets;
--- a/src/limits/internal/grantrules.cpp
+++ b/src/limits/internal/grantrules.cpp
@@ -12,8 +12,8 @@
 
 constexpr double SecondsPerMinute = 60;
 constexpr double MicrosecondsPerSecond = 1e6;
-constexpr double PrefetchDivisor = 4; ///< Ahead of need at most a quarter of what is left.
-constexpr std::int64_t ScarceSlotsDivisor = 2; ///< With less than half of the slots free nobody keeps spare ones.
+constexpr double PrefetchDivisor = 4; ///< A VM may prefetch at most a quarter of what is left.
+constexpr std::int64_t ScarceSlotsDivisor = 2; ///< With less than half of the slots free, VMs keep no spare ones.
 
 std::int64_t grantAmount(Bucket &bucket, std::int64_t needed, std::int64_t ahead)
 {
@@ -32,15 +32,15 @@
 
 void grantSlots(GrantPool &pool, std::int64_t limit, const std::string &instance, const wire::GrantAsk &request, wire::GrantReply &reply)
 {
-    SlotHolder &own = pool.holders[instance];
-    own.held = request.open_held();
+    SlotHolder &requester = pool.holders[instance];
+    requester.held = request.open_held();
     std::int64_t held = 0;
     for (const auto &[name, holder] : pool.holders) {
         held += holder.held;
     }
     const std::int64_t free = std::max<std::int64_t>(0, limit - held);
     const std::int64_t granted = std::clamp<std::int64_t>(request.open_needed(), 0, free);
-    own.held += granted;
+    requester.held += granted;
     reply.set_open(granted);
     reply.set_open_tight((free - granted) * ScarceSlotsDivisor < limit);
 }
--- a/src/limits/internal/limitshare.h
+++ b/src/limits/internal/limitshare.h
@@ -10,8 +10,8 @@
 
 namespace cardamomlift::limits {
 
-inline constexpr Duration InitialRefusalBackoff = std::chrono::milliseconds(25); ///< Doubled with each ask that brings too little.
-inline constexpr double IdleRequestsPerSecond = 0.1; ///< Requests a second.
+inline constexpr Duration InitialRefusalBackoff = std::chrono::milliseconds(25); ///< Doubled after each grant that does not cover all waiting requests.
+inline constexpr double IdleRequestsPerSecond = 0.1; ///< A customer with a lower rate is idle: nothing is prefetched for it.
 inline constexpr Duration CallTimeout = std::chrono::milliseconds(250);
 inline constexpr Duration SlotReturnDelay = std::chrono::milliseconds(20);
 inline constexpr char ProbeTopic[] = "limits.probe";
@@ -21,24 +21,24 @@
     return static_cast<std::int64_t>(std::ceil(value));
 }
 
-/// What this VM holds of one customer's limits.
+/// The quota of one customer that this VM holds.
 struct CustomerLimiter::Share {
     struct WaitingRequest {
         std::int64_t tokens = 0;
         AcquireHandler handler;
         TimePoint queuedAt;
-        bool isCovered = false;
+        bool isCovered = false; ///< The pending grant request includes it.
     };
     std::string customer;
     contract::Limits limits;
-    std::int64_t requests = 0; ///< Granted and not used.
+    std::int64_t requests = 0; ///< Granted and unused; tokens likewise.
     std::int64_t tokens = 0;
     std::int64_t slotsHeld = 0;
     std::int64_t slotsUsed = 0;
-    bool slotsScarce = true;
+    bool slotsScarce = true; ///< Few slots are free at the grantor: unused ones are returned at once.
     std::deque<WaitingRequest> waiting;
     bool isGrantRequestPending = false;
-    bool isGrantRequestScheduled = false; ///< An askSoon() is under way.
+    bool isGrantRequestScheduled = false; ///< By scheduleGrantRequest().
     TimePoint lastGrantAt;
     TimePoint useOwnShareUntil;
     bool usesOwnShare = false;
@@ -49,7 +49,7 @@
     AcquireResult lastRefusal;
     Duration requestsWait{0};
     Duration tokensWait{0};
-    std::int64_t acquiredRequests = 0; ///< Since the last tick.
+    std::int64_t acquiredRequests = 0; ///< Since the last tick; acquiredTokens likewise.
     std::int64_t acquiredTokens = 0;
     double requestsPerSecond = 0;
     double tokensPerSecond = 0;
@@ -68,7 +68,7 @@
     }
     std::int64_t tokensToPrefetch() const
     {
-        // NOTE Reservations run ahead of real use, so the limit itself bounds what is held.
+        // NOTE Requests reserve more tokens than they use, so tokensPerSecond may exceed the limit; the limit bounds what is held.
         return requestsPerSecond < IdleRequestsPerSecond ? 0 : roundUp(std::min(tokensPerSecond, tokenRate(limits).perSecond));
     }
     bool isEmpty() const
--- a/src/limits/limittypes.h
+++ b/src/limits/limittypes.h
@@ -9,36 +9,36 @@
 
 namespace cardamomlift::limits {
 
-/// A token bucket. Levels may be fractions: a small limit over many VMs is less than one a second each.
+/// A token bucket. The level may be fractional: a small limit split between many VMs is less than one per second each.
 struct Bucket {
     double level = 0;
     TimePoint updatedAt;
 };
 
-/// How fast a bucket fills, and up to where.
+/// Refill rate and capacity of a Bucket.
 struct BucketRate {
     double perSecond = 0;
     double capacity = 0;
 };
 
-/// What one entry VM holds of a customer's concurrency limit.
+/// The share of a customer's concurrency limit that one entry VM holds.
 struct SlotHolder {
     std::int64_t held = 0;
-    std::uint64_t sequence = 0; ///< Of its newest ask; an older one comes late and is ignored.
+    std::uint64_t sequence = 0; ///< Of its latest grant request. Requests that arrive out of order are ignored.
 };
 
-/// The grantor's books on one customer.
+/// The quota of one customer that the grantor has left to grant, and the slots it has granted.
 struct GrantPool {
     Bucket requests;
     Bucket tokens;
     std::map<std::string, SlotHolder> holders; ///< By instance.
 };
 
-/// What is taken for one request.
+/// Whether a request may run within its customer's limits, and if not, why.
 struct AcquireResult {
     bool acquired = false;
     metrics::RefusalReason reason = metrics::RefusalReason::TooManyRequests;
-    Duration retryAfter{0}; ///< 0: a repeat does not help.
+    Duration retryAfter{0}; ///< 0: retrying does not help.
 };
 
 } // namespace cardamomlift::limits
--- a/src/limits/tests/customerlimiter_test.cpp
+++ b/src/limits/tests/customerlimiter_test.cpp
@@ -44,16 +44,16 @@
     void start(std::size_t vms)
     {
         for (std::size_t i = 0; i < vms; i++) {
-            list_.push_back({fmt::format("entry-{}", i), "127.0.0.1", 1, 1, "zone-1"});
+            vmList_.push_back({fmt::format("entry-{}", i), "127.0.0.1", 1, 1, "zone-1"});
         }
-        for (const membership::Vm &vm : list_) {
-            auto &vm = vms_.emplace_back(std::make_unique<TestVm>());
-            vm->instance = vm.instance;
-            vm->contracts->offer({"shop", 1, 1, contractText(), "tester", "edit", 0});
-            vm->members = membership::Members::create(vm.instance);
-            vm->members->applyList(list_);
-            vm->transport = peers::LocalTransport::create(*loop_, network_, vm.instance);
-            vm->limiter = CustomerLimiter::create({loop_.get(), vm->contracts, vm->members, vm->transport, nullptr});
+        for (const membership::Vm &vm : vmList_) {
+            auto &testVm = vms_.emplace_back(std::make_unique<TestVm>());
+            testVm->instance = vm.instance;
+            testVm->contracts->offer({"shop", 1, 1, contractText(), "tester", "edit", 0});
+            testVm->members = membership::Members::create(vm.instance);
+            testVm->members->applyList(vmList_);
+            testVm->transport = peers::LocalTransport::create(*loop_, network_, vm.instance);
+            testVm->limiter = CustomerLimiter::create({loop_.get(), testVm->contracts, testVm->members, testVm->transport, nullptr});
         }
         advance(std::chrono::seconds(3));
     }
@@ -77,7 +77,7 @@
         }
     }
 
-    /// One request that ends at once, unless @p stays.
+    /// Sends one request, which ends at once unless @p staysOpen.
     void request(std::size_t index, std::int64_t tokens = 0, bool staysOpen = false)
     {
         TestVm &vm = *vms_[index];
@@ -96,7 +96,7 @@
         });
     }
 
-    /// Sends @p perSecond requests a second to each of @p targets for @p time, evenly.
+    /// Sends @p perSecond requests per second, evenly spaced, to each of @p targets for @p time.
     void load(const std::vector<std::size_t> &targets, int perSecond, Duration time)
     {
         double due = 0;
@@ -130,13 +130,13 @@
     ManualClock clock_;
     std::unique_ptr<EventLoop> loop_ = std::move(EventLoop::create(clock_).value());
     std::shared_ptr<peers::LocalNetwork> network_ = std::make_shared<peers::LocalNetwork>();
-    std::vector<membership::Vm> list_;
+    std::vector<membership::Vm> vmList_;
     std::vector<std::unique_ptr<TestVm>> vms_;
 };
 
 } // namespace
 
-TEST_F(CustomerLimiterTest, OneVmMayUseTheWholeRate)
+TEST_F(CustomerLimiterTest, OneVmCanUseTheWholeRate)
 {
     start(4);
     const std::size_t other = (grantorIndex() + 1) % 4;
@@ -145,16 +145,16 @@
     EXPECT_GE(vms_[other]->acquired, PerSecond * 94 / 10);
 }
 
-TEST_F(CustomerLimiterTest, TheSumOfTheRatesHolds)
+TEST_F(CustomerLimiterTest, TheSumOfTheRatesStaysWithinTheLimit)
 {
     start(4);
     load({0, 1, 2, 3}, PerSecond, std::chrono::seconds(10));
     RecordProperty("taken", totalAcquired());
-    EXPECT_LE(totalAcquired(), PerSecond * 11) << "ten seconds' worth and one second's burst";
+    EXPECT_LE(totalAcquired(), PerSecond * 11) << "ten seconds at the limit plus a burst of one second";
     EXPECT_GE(totalAcquired(), PerSecond * 95 / 10);
 }
 
-TEST_F(CustomerLimiterTest, OpenRequestsAreCountedOverAllVms)
+TEST_F(CustomerLimiterTest, OpenRequestsAreCountedAcrossAllVms)
 {
     start(4);
     for (int i = 0; i < OpenRequests; i++) {
@@ -169,10 +169,10 @@
     advance(std::chrono::milliseconds(100));
     request(2, 0, true);
     advance(std::chrono::milliseconds(100));
-    EXPECT_EQ(vms_[2]->open, 1) << "a slot that is free at one VM serves another";
+    EXPECT_EQ(vms_[2]->open, 1) << "a slot that one VM frees can be used by another";
 }
 
-TEST_F(CustomerLimiterTest, TokensThatWereNotUsedComeBack)
+TEST_F(CustomerLimiterTest, UnusedTokensAreReturned)
 {
     start(3);
     advance(std::chrono::minutes(1));
@@ -192,34 +192,35 @@
     EXPECT_EQ(vms_[1]->refused[metrics::RefusalReason::TokenLimit], 1);
 }
 
-TEST_F(CustomerLimiterTest, ADeadGrantorIsReplacedBeforeTheListShowsIt)
+TEST_F(CustomerLimiterTest, AFailedGrantorIsReplacedBeforeTheVmListChanges)
 {
     start(4);
-    const std::size_t dead = grantorIndex();
-    const std::size_t other = (dead + 1) % 4;
+    const std::size_t failed = grantorIndex();
+    const std::size_t other = (failed + 1) % 4;
     load({other}, PerSecond / 2, std::chrono::seconds(2));
-    partition(dead);
+    partition(failed);
     load({other}, PerSecond / 2, std::chrono::seconds(3));
-    const int refusedAtFirst = vms_[other]->totalRefused;
-    RecordProperty("refusedAtFirst", refusedAtFirst);
+    const int refusedBefore = vms_[other]->totalRefused;
+    RecordProperty("refusedAtFirst", refusedBefore);
     load({other}, PerSecond / 2, std::chrono::seconds(10));
-    EXPECT_EQ(vms_[other]->totalRefused, refusedAtFirst) << "half of the limit is more than the own share of a quarter";
+    EXPECT_EQ(vms_[other]->totalRefused, refusedBefore) << "the load is half of the limit, more than an own share of a quarter";
 }
 
-TEST_F(CustomerLimiterTest, ACutOffVmPassesTheLimitByItsShareAtMost)
+TEST_F(CustomerLimiterTest, APartitionedVmExceedsTheLimitByAtMostItsOwnShare)
 {
     start(4);
-    const std::size_t alone = (grantorIndex() + 1) % 4;
+    const std::size_t partitioned = (grantorIndex() + 1) % 4;
     load({0, 1, 2, 3}, PerSecond, std::chrono::seconds(2));
-    partition(alone);
+    partition(partitioned);
     const int before = totalAcquired();
     load({0, 1, 2, 3}, PerSecond, std::chrono::seconds(20));
     const int acquired = totalAcquired() - before;
     RecordProperty("taken", acquired);
-    EXPECT_LE(acquired, PerSecond * 20 * 5 / 4 + PerSecond * 2) << "the share of one VM of four, and two bursts while the view changes";
+    EXPECT_LE(acquired, PerSecond * 20 * 5 / 4 + PerSecond * 2)
+        << "the limit plus the own share of one VM of four, and two bursts while the VMs detect the partition";
 }
 
-TEST_F(CustomerLimiterTest, TwoHalvesThatAreCutFromEachOtherShareTheLimit)
+TEST_F(CustomerLimiterTest, TwoPartitionedHalvesStayWithinTheLimit)
 {
     start(4);
     for (const auto &[from, to] : std::vector<std::pair<int, int>>{{0, 2}, {0, 3}, {1, 2}, {1, 3}}) {
@@ -232,33 +233,33 @@
     const int acquired = totalAcquired() - before;
     RecordProperty("taken", acquired);
     EXPECT_LE(acquired, PerSecond * 11);
-    EXPECT_GE(acquired, PerSecond * 9) << "each VM goes on with its share";
+    EXPECT_GE(acquired, PerSecond * 9) << "each VM continues with its own share";
 }
 
-TEST_F(CustomerLimiterTest, SlotsOfACutOffVmStayTaken)
+TEST_F(CustomerLimiterTest, APartitionedVmKeepsItsSlots)
 {
     start(4);
-    const std::size_t alone = (grantorIndex() + 1) % 4;
+    const std::size_t partitioned = (grantorIndex() + 1) % 4;
     const std::size_t other = (grantorIndex() + 2) % 4;
     for (int i = 0; i < OpenRequests; i++) {
-        request(alone, 0, true);
+        request(partitioned, 0, true);
         advance(Step);
     }
-    partition(alone);
+    partition(partitioned);
     request(other, 0, true);
     advance(std::chrono::seconds(3));
     EXPECT_EQ(vms_[other]->open, 0);
-    list_.erase(list_.begin() + static_cast<std::ptrdiff_t>(alone));
+    vmList_.erase(vmList_.begin() + static_cast<std::ptrdiff_t>(partitioned));
     for (const auto &vm : vms_) {
-        vm->members->applyList(list_);
+        vm->members->applyList(vmList_);
     }
     advance(std::chrono::seconds(3));
     request(other, 0, true);
     advance(std::chrono::seconds(1));
-    EXPECT_EQ(vms_[other]->open, 1) << "a VM that is gone runs nothing";
+    EXPECT_EQ(vms_[other]->open, 1) << "a VM that is no longer listed runs no requests";
 }
 
-TEST_F(CustomerLimiterTest, MessagesStayFewAndIdleVmsSendNone)
+TEST_F(CustomerLimiterTest, MessagesAreFewAndIdleVmsSendNone)
 {
     start(4);
     const std::size_t other = (grantorIndex() + 1) % 4;
@@ -272,5 +273,5 @@
     const auto after = vms_[other]->transport->counters().callsSent;
     advance(std::chrono::minutes(1));
     EXPECT_EQ(vms_[other]->transport->counters().callsSent, after);
-    EXPECT_LE(vms_[grantorIndex()]->transport->counters().callsSent, 100U) << "a probe a second";
+    EXPECT_LE(vms_[grantorIndex()]->transport->counters().callsSent, 100U) << "one probe per second";
 }
