--- a/src/routing/internal/choose.cpp
+++ b/src/routing/internal/choose.cpp
@@ -9,13 +9,13 @@
 namespace {
 
 constexpr double FailedPenaltyMs = 1e6;
-constexpr double FailedZonePenaltyMs = 1e4; ///< A zone goes as a whole: after a failure another zone is tried first.
-constexpr double HostsSuspectPenaltyMs = 500; ///< A server with a suspect may crash; a failed one surely fails.
-constexpr double SecondSuspectPenaltyMs = 1e5; ///< Two suspects on one server would not be told apart.
-constexpr double SharedServerPenaltyMs = 1e3; ///< For each request that a suspect would run beside.
-constexpr double FleetStartsPerRootOfEntries = 2; ///< Found with bench-routing at 8 and 40 entry VMs.
+constexpr double FailedZonePenaltyMs = 1e4; ///< Zones fail as a whole, so after a failure another zone is tried first.
+constexpr double HostsSuspectPenaltyMs = 500; ///< Far below FailedPenaltyMs: a server with a suspect may crash, a failed one surely fails.
+constexpr double SecondSuspectPenaltyMs = 1e5; ///< After a crash it would not be known which of two suspects caused it.
+constexpr double SharedServerPenaltyMs = 1e3; ///< For each request that would share the server with a suspect.
+constexpr double FleetStartsPerRootOfEntries = 2; ///< Determined with bench-routing at 8 and 40 entry VMs.
 constexpr double FullCacheShare = 0.95;
-constexpr double FullCachePenaltyMs = 100; ///< Above FullCacheShare running requests get preempted.
+constexpr double FullCachePenaltyMs = 100; ///< Above FullCacheShare the server preempts running requests.
 constexpr double MsPerPriceRatioNormal = 25;
 constexpr double MsPerPriceRatioDeferrable = 150;
 constexpr double RecomputeFactorDeferrable = 2;
@@ -67,7 +67,7 @@
 
 double costOf(const Candidate &candidate, const RouteCriteria &criteria, const RouteWeights &weights, std::int64_t lowestPrice)
 {
-    // A customer's own requests count twice, so that its burst spreads before it fills the servers of one prefix.
+    // The customer's own requests count twice, so that a burst of one customer spreads instead of filling the servers of one prefix.
     const double load = estimatedLoad(candidate) + candidate.customerInFlight;
     double cost = load * weights.msPerRequest;
     if (candidate.report) {
--- a/src/routing/internal/router.cpp
+++ b/src/routing/internal/router.cpp
@@ -11,9 +11,10 @@
 
 namespace {
 
-/// How long a load report is behind; own starts fade out of the estimate over this time.
+/// Lag of load reports. Requests started by this VM decay out of the estimate over this time.
 constexpr Duration ReportLag = std::chrono::milliseconds(1500);
-/// Polls are seconds apart; a report that old says less than own starts do. Found with bench-routing.
+/// Time constant by which the counts of a report decay. Polls are seconds apart, and a report that old tells less than the
+/// requests started by this VM. Found with bench-routing.
 constexpr Duration ReportDecay = std::chrono::milliseconds(1000);
 constexpr Duration MaxReportAge = std::chrono::seconds(10);
 constexpr Duration InitialBackoff = std::chrono::seconds(1);
@@ -30,7 +31,7 @@
     return state.recentStarts * std::exp(-lags);
 }
 
-/// A count of requests loses its worth with its age.
+/// The counts of requests in a report decay with its age.
 LoadReport decayed(LoadReport report, Duration age)
 {
     const double weight = std::exp(-(std::chrono::duration<double>(age) / ReportDecay));
@@ -46,7 +47,7 @@
     std::shared_ptr<Router> router(new Router);
     router->clock_ = &clock;
     router->members_ = std::move(members);
-    // Each VM draws other samples, or all would herd to one server.
+    // The seed differs between VMs: with the same samples all would choose the same server.
     router->random_.seed(static_cast<std::uint32_t>(text::stableHash(router->members_->self())));
     router->refresh();
     router->members_->onChange([weak = std::weak_ptr<Router>(router)] {
@@ -81,8 +82,8 @@
     }
     result.excluded = contains(criteria.exclude, vm.instance);
     result.hostsSuspect = contains(criteria.serversWithSuspects, vm.instance);
-    // Only a first attempt finds out whether a server that failed is back, one a second; a retry goes to a sound one.
-    // NOTE A dead server looks idle beside the load that others report, and would draw all first attempts at once.
+    // After a failure, one first attempt per second probes whether the server has recovered; retries go to healthy servers.
+    // NOTE A dead server looks idle compared with the load that others report, and would attract all first attempts at once.
     const bool isRetry = !criteria.exclude.empty();
     const bool wasProbed = state.recentStartsAt >= state.avoidUntil && now - state.recentStartsAt < InitialBackoff;
     const bool isOnTrial = state.consecutiveFailures > 0 && (isRetry || wasProbed);
@@ -117,10 +118,10 @@
         return std::nullopt;
     }
     const Sample sample = sampleServers(group->ring, criteria.prefixHash, random_);
-    // A suspect needs the emptiest server of all, which is rare enough to look at each.
+    // A suspect needs the least loaded of all servers. Suspects are rare enough to look at each server.
     auto best = criteria.preferIdleServer ? std::nullopt : chooseAmong(*group, sample.servers, sample.prefixServerCount, criteria, true);
     if (!best) {
-        // All of the sample failed or were tried: look at every server, sound ones first.
+        // All of the sample have failed or were tried: considers every server, healthy ones first.
         std::vector<std::size_t> all(group->vms.size());
         std::iota(all.begin(), all.end(), std::size_t{0});
         best = chooseAmong(*group, all, 0, criteria, false);
@@ -170,7 +171,7 @@
     ServerState &state = *index_.state(instance);
     const TimePoint now = clock_->now();
     if (now < state.avoidUntil) {
-        // The failures of one moment count once.
+        // Failures while the server is avoided already do not extend the backoff.
         return;
     }
     state.avoidUntil = now + InitialBackoff * (1U << std::min(state.consecutiveFailures, MaxBackoffDoublings));
--- a/src/routing/internal/serverindex.cpp
+++ b/src/routing/internal/serverindex.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-/// Changes when any property that routing uses changes.
+/// Returns a hash of all properties that routing uses.
 std::uint64_t signatureOf(const std::map<std::string, membership::Vm> &vms)
 {
     std::uint64_t hash = 1;
@@ -55,7 +55,7 @@
         }
         group.ring = ServerRing::create(instances);
     }
-    // What nobody lists and nothing runs on is forgotten.
+    // Removes servers that are no longer listed and have no attempt in flight.
     std::erase_if(states_, [&](const auto &entry) { return !members.find(entry.first) && entry.second->inFlight == 0; });
 }
 
--- a/src/routing/prefixhints.h
+++ b/src/routing/prefixhints.h
@@ -10,14 +10,14 @@
 
 namespace cardamomlift::routing {
 
-/// What this VM heard about prefixes in servers' caches: from answers, and from cache events, which come late and with
-/// gaps. Each word is a hint that fades with its age; the oldest go when there is no room.
+/// Estimates which prefixes are in servers' caches, from answers and from cache events, some of which arrive late or not at
+/// all. An observation decays with its age; the least recently recorded ones are evicted.
 class PrefixHints
 {
 public:
-    /// @p share of the prompt was found in the cache of @p instance at @p at. A word older than the known one is ignored.
+    /// Records that @p share of the prompt was in the cache of @p instance at @p at. Ignored if older than the known observation.
     void note(std::string_view instance, std::uint64_t prefixHash, double share, TimePoint at);
-    /// The faded share, or none if nothing is known.
+    /// Returns the decayed share, or none if nothing is known.
     std::optional<double> share(std::string_view instance, std::uint64_t prefixHash, TimePoint now) const;
     std::size_t size() const;
 
@@ -27,7 +27,7 @@
         double share = 0;
         TimePoint at;
     };
-    std::list<Hint> byRecency_; ///< Last noted first.
+    std::list<Hint> byRecency_; ///< Most recently recorded first.
     std::unordered_map<std::uint64_t, std::list<Hint>::iterator> hints_;
 };
 
--- a/src/routing/router.h
+++ b/src/routing/router.h
@@ -12,25 +12,25 @@
 
 namespace cardamomlift::routing {
 
-/// Chooses the backend server of each attempt and keeps what this VM knows of their load.
+/// Chooses the backend server of each attempt, and tracks the load and failures of the servers as seen by this VM.
 class Router : public std::enable_shared_from_this<Router>
 {
 public:
     static std::shared_ptr<Router> create(const Clock &clock, std::shared_ptr<membership::Members> members);
 
-    /// A live server, or none. Does not count it as in flight yet. Looks at a bounded sample of the servers.
+    /// Returns a live server, or none. Considers a bounded sample of the servers. The attempt counts from started() on.
     std::optional<membership::Vm> choose(const RouteCriteria &criteria);
-    /// An attempt of @p customer at @p instance starts.
+    /// Records the start of an attempt for @p customer at @p instance.
     void started(const std::string &instance, std::string_view customer = {});
-    /// It ended. Call once for each started(), with the same customer.
+    /// Records the end of an attempt. To be called once for each started(), with the same customer.
     void finished(const std::string &instance, AttemptEnd end, std::string_view customer = {});
-    /// @p instance broke off, as another VM says: it is avoided as after a failure of our own.
+    /// Avoids @p instance as after a failed attempt. Also called when another VM reports that it crashed.
     void avoid(const std::string &instance);
-    /// @p instance reported its load at @p at.
+    /// Records that @p instance reported its load at @p at.
     void noteLoad(const std::string &instance, const LoadReport &report, TimePoint at);
-    /// @p share of a prompt was in the cache of @p instance at @p at: from an answer or a cache event.
+    /// Records that @p share of a prompt was in the cache of @p instance at @p at, from an answer or a cache event.
     void notePrefix(std::string_view instance, std::uint64_t prefixHash, double share, TimePoint at);
-    /// Live servers of a model or service.
+    /// Returns the number of live servers of a model or service.
     std::size_t liveServers(membership::VmRole role, std::string_view name) const;
 
 private:
--- a/src/routing/serverindex.h
+++ b/src/routing/serverindex.h
@@ -12,11 +12,11 @@
 
 namespace cardamomlift::routing {
 
-/// What this VM knows of one server from its own attempts and from load reports.
+/// The state of one server, from the attempts of this VM and from load reports.
 struct ServerState {
     std::uint32_t inFlight = 0;
-    std::map<std::string, std::uint32_t, std::less<>> inFlightByCustomer; ///< Part of inFlight.
-    double recentStarts = 0; ///< As of recentAt; fades.
+    std::map<std::string, std::uint32_t, std::less<>> inFlightByCustomer; ///< The parts of inFlight.
+    double recentStarts = 0; ///< Decaying count, as of recentStartsAt.
     TimePoint recentStartsAt;
     std::optional<LoadReport> report;
     TimePoint reportAt;
@@ -27,19 +27,19 @@
 /// The live servers of one model or service.
 struct ServerGroup {
     std::vector<membership::Vm> vms;
-    std::vector<std::shared_ptr<ServerState>> states; ///< Beside vms.
+    std::vector<std::shared_ptr<ServerState>> states; ///< In the order of vms.
     ServerRing ring = ServerRing::create({});
 };
 
-/// Groups of servers by what they serve, rebuilt only when Members has really changed.
+/// Live servers grouped by what they serve. Rebuilt only when a property that routing uses has changed.
 class ServerIndex
 {
 public:
-    /// Takes over what @p members knows now. Costs O(VMs) when nothing has changed.
+    /// Updates the groups from @p members. Costs O(VMs) if nothing has changed.
     void refresh(const membership::Members &members);
-    /// The group, or null if no live server has this role and name.
+    /// Returns the group, or null if no live server has this role and name.
     const ServerGroup *find(membership::VmRole role, std::string_view name) const;
-    /// The state of @p instance; made when it is new.
+    /// Returns the state of @p instance; creates it if there is none.
     std::shared_ptr<ServerState> state(const std::string &instance);
     std::uint64_t rebuilds() const;
 
--- a/src/routing/serverring.h
+++ b/src/routing/serverring.h
@@ -10,16 +10,16 @@
 
 using Random = std::minstd_rand;
 
-/// Servers of one model on a consistent-hash ring. Every VM that knows the same servers finds the same ones near a
-/// prefix, without a message.
+/// The servers of one model or service on a consistent-hash ring. All VMs that know the same servers find the same ones near
+/// a prefix without communicating.
 class ServerRing
 {
 public:
-    /// Servers are known by their index in @p instances from here on.
+    /// Servers are identified by their index in @p instances.
     static ServerRing create(std::span<const std::string> instances);
 
     std::size_t size() const;
-    /// Up to @p count different servers near @p prefixHash, nearest first. Costs O(log size).
+    /// Returns up to @p count distinct servers near @p prefixHash, nearest first. Costs O(log size).
     std::vector<std::size_t> nearest(std::uint64_t prefixHash, std::size_t count) const;
 
 private:
@@ -32,16 +32,16 @@
     std::size_t size_ = 0;
 };
 
-/// The servers one decision looks at: first those near the prefix, then some at random. All of them when there are few.
+/// The servers that one decision considers: those near the prefix, then some random ones. All servers if there are few.
 struct Sample {
     std::vector<std::size_t> servers;
-    std::size_t prefixServerCount = 0; ///< The first so many are near the prefix, nearest first.
+    std::size_t prefixServerCount = 0; ///< Number of servers near the prefix, at the front of servers, nearest first.
 };
 
 Sample sampleServers(const ServerRing &ring, std::uint64_t prefixHash, Random &random);
 
-/// What share of a prompt is likely cached at the server that is @p rank-th nearest to it, when nothing else is known:
-/// the other VMs send the same prefix there too.
+/// Returns the share of a prompt that is probably cached at the server with the given @p rank of nearness to it, if there is
+/// no observation: other VMs send the same prefix there too.
 double expectedCachedShare(std::size_t rank);
 
 } // namespace cardamomlift::routing
--- a/src/routing/tests/router_test.cpp
+++ b/src/routing/tests/router_test.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-membership::Vm engine(int number, const std::string &zone)
+membership::Vm makeEngine(int number, const std::string &zone)
 {
     membership::Vm vm;
     vm.instance = "engine-" + std::to_string(number);
@@ -21,12 +21,12 @@
     return vm;
 }
 
-/// One entry VM's router over engines in two zones.
+/// The router of one entry VM, with engines in two zones.
 struct RouterHarness {
     explicit RouterHarness(int engines, const std::string &self = "entry-1")
     {
         for (int i = 0; i < engines; i++) {
-            list.push_back(engine(i, "zone-" + std::to_string(i % 2)));
+            list.push_back(makeEngine(i, "zone-" + std::to_string(i % 2)));
         }
         members = membership::Members::create(self);
         members->applyList(list);
@@ -45,21 +45,21 @@
 
 } // namespace
 
-TEST(Router, LeavesServersThatFailedAloneForAWhile)
+TEST(Router, AvoidsServersAfterAFailure)
 {
     RouterHarness harness(6);
-    for (const char *dead : {"engine-0", "engine-2", "engine-4"}) {
-        harness.router->started(dead, "customer");
-        harness.router->finished(dead, AttemptEnd::Failed, "customer");
+    for (const char *failed : {"engine-0", "engine-2", "engine-4"}) {
+        harness.router->started(failed, "customer");
+        harness.router->finished(failed, AttemptEnd::Failed, "customer");
     }
     for (int i = 0; i < 100; i++) {
-        // The sound ones are busy, and chosen all the same.
+        // Healthy servers are chosen even when they are busy.
         const auto vm = harness.router->choose(harness.criteria);
         ASSERT_TRUE(vm);
         EXPECT_EQ(vm->zone, "zone-1");
         harness.router->started(vm->instance, "customer");
     }
-    // Later a first attempt looks whether they are back; a retry does not.
+    // After the backoff a first attempt probes a failed server; a retry does not.
     harness.clock.advance(std::chrono::seconds(2));
     EXPECT_EQ(harness.router->choose(harness.criteria)->zone, "zone-0");
     harness.criteria.exclude = {"engine-1"};
@@ -77,7 +77,7 @@
     EXPECT_EQ(chosen.size(), 1U);
 }
 
-TEST(Router, ABurstOfOneCustomerSpreads)
+TEST(Router, ABurstOfOneCustomerIsSpread)
 {
     RouterHarness harness(12);
     harness.criteria.prefixHash = 12345;
@@ -93,7 +93,7 @@
     }
 }
 
-TEST(Router, LeavingServersGetNothing)
+TEST(Router, LeavingServersAreNotChosen)
 {
     RouterHarness harness(6);
     for (const char *leaving : {"engine-0", "engine-2", "engine-4"}) {
@@ -108,9 +108,9 @@
     EXPECT_FALSE(harness.router->choose(harness.criteria));
 }
 
-TEST(Choose, IdleReportOfASecondAgoDrawsNoHerd)
+TEST(Choose, AStaleIdleReportDoesNotAttractAllRequests)
 {
-    // Server 0 was reported idle, but this VM alone has started five requests there since.
+    // Server 0 reported no load, but this VM alone has started five requests there since.
     std::vector<Candidate> candidates(2);
     candidates[0].report = LoadReport{0, 0, 0};
     candidates[0].recentStarts = 5;
@@ -119,7 +119,7 @@
     EXPECT_EQ(choose(candidates, RouteCriteria()), 1U);
 }
 
-TEST(Choose, PriceCountsForWhatMayWait)
+TEST(Choose, PriceCountsForDeferrableRequests)
 {
     std::vector<Candidate> candidates(2);
     candidates[0].microsPerHour = 1000;
@@ -132,7 +132,7 @@
     EXPECT_EQ(choose(candidates, criteria), 1U);
 }
 
-TEST(PrefixHints, LateWordsDoNotReplaceNewerOnes)
+TEST(PrefixHints, LateObservationsDoNotReplaceNewerOnes)
 {
     ManualClock clock;
     PrefixHints hints;
@@ -150,7 +150,7 @@
     EXPECT_LE(hints.size(), 16384U);
 }
 
-TEST(Router, AServerThatOtherVmsCanNotReachIsLeftOutUnlessAllAre)
+TEST(Router, AnUnreachableServerIsAvoidedUnlessAllAre)
 {
     RouterHarness harness(2);
     const WallTime until = harness.clock.wallNow() + std::chrono::seconds(10);
@@ -168,7 +168,7 @@
     EXPECT_EQ(harness.router->choose(harness.criteria)->instance, "engine-0");
 }
 
-TEST(Router, AReportLosesItsWorthWithItsAge)
+TEST(Router, AReportDecaysWithItsAge)
 {
     RouterHarness harness(2);
     harness.router->noteLoad("engine-0", {10, 0, 0}, harness.clock.now());
@@ -177,12 +177,12 @@
         harness.router->started("engine-1", "customer");
     }
     EXPECT_EQ(harness.router->choose(harness.criteria)->instance, "engine-1");
-    // Its own requests are certain; the ten were counted four seconds ago.
+    // The ten requests were reported four seconds ago, while the two of this VM are certain.
     harness.clock.advance(std::chrono::seconds(4));
     EXPECT_EQ(harness.router->choose(harness.criteria)->instance, "engine-0");
 }
 
-TEST(Router, OneAttemptASecondLooksWhetherADeadServerIsBack)
+TEST(Router, OneAttemptPerSecondProbesAFailedServer)
 {
     RouterHarness harness(2);
     harness.router->noteLoad("engine-1", {30, 0, 0}, harness.clock.now());
@@ -191,12 +191,12 @@
     for (int second = 0; second < 3; second++) {
         harness.clock.advance(std::chrono::seconds(2));
         harness.router->noteLoad("engine-1", {30, 0, 0}, harness.clock.now());
-        int atDead = 0;
+        int probes = 0;
         for (int i = 0; i < 10; i++) {
             const auto vm = harness.router->choose(harness.criteria);
             harness.router->started(vm->instance, "other");
-            atDead += vm->instance == "engine-0" ? 1 : 0;
+            probes += vm->instance == "engine-0" ? 1 : 0;
         }
-        EXPECT_EQ(atDead, 1);
+        EXPECT_EQ(probes, 1);
     }
 }
