--- a/src/daemon/daemon.cpp
+++ b/src/daemon/daemon.cpp
@@ -88,19 +88,19 @@
 {
     applyContractFiles();
     watchSignals(settingsFile);
-    printPorts();
+    printReadyLine();
     loop_->run();
-    // NOTE libev's handlers stay installed after its loop is gone; a late signal must not reach them.
+    // NOTE libev's signal handlers stay installed after its loop is destroyed; a late signal must not reach them.
     std::signal(SIGTERM, SIG_IGN);
     std::signal(SIGINT, SIG_IGN);
     std::signal(SIGHUP, SIG_IGN);
 }
 
-// The one line a starter of the daemon waits for: its ports, as JSON.
-void Daemon::printPorts() const
+// The ready line is a JSON object with the ports, printed for the process that started the daemon and waits for them.
+void Daemon::printReadyLine() const
 {
     if (context_.get<settings::Settings>()->routes) {
-        // The ports are in the settings; standard output is for the structured log.
+        // The settings name the ports, and standard output carries the event log.
         context_.get<eventlog::EventLog>()->write(eventlog::Event::Started, {});
         return;
     }
@@ -146,7 +146,7 @@
         const std::string text = readFile(file);
         const contract::Contract parsed = contract::readContract(file, text, findings);
         if (hasErrors(findings)) {
-            partLogger("daemon")->error("A contract file is wrong. {}", formatFindings(findings));
+            partLogger("daemon")->error("A contract file has errors and is not applied. {}", formatFindings(findings));
             continue;
         }
         contract::Edit edit{parsed.customer, text, 0, "settings", text::randomHex(EditIdBytes)};
--- a/src/daemon/daemon.h
+++ b/src/daemon/daemon.h
@@ -11,21 +11,21 @@
 
 namespace cardamomlift::daemon {
 
-/// One daemon: the loop, the modules and their services.
+/// A daemon: the event loop, the modules and the services that they provide.
 class Daemon
 {
 public:
-    /// Starts all registered modules. Fails with the first module that does not start.
+    /// Starts all registered modules. Fails if one of them does not start.
     static Result<std::unique_ptr<Daemon>> create(settings::Settings settings);
     ~Daemon();
 
-    /// Prints the ready line on standard output and runs until drained by SIGTERM or SIGINT.
-    /// @p settingsFile: where the settings came from, to be read again at SIGHUP; empty: nowhere.
+    /// Prints the ready line on standard output and runs until SIGTERM or SIGINT, which start a drain, and the drain's end.
+    /// @p settingsFile: the file that the settings come from, to be read again when it changes; empty: there is none.
     void run(const std::string &settingsFile);
 
 private:
     Daemon() = default;
-    void printPorts() const;
+    void printReadyLine() const;
     void watchSignals(const std::string &settingsFile);
     void applyContractFiles();
     SystemClock clock_;
--- a/src/daemon/main.cpp
+++ b/src/daemon/main.cpp
@@ -18,10 +18,10 @@
 constexpr int ExitUsage = 2;
 constexpr int ExitSettings = 3;
 constexpr int ExitStart = 4;
-/// Names the settings file where the command line does not.
+/// Environment variable with the path of the settings file, used if the command line does not name one.
 constexpr char SettingsVariable[] = "CARDAMOMLIFT_CONFIG";
 
-/// Reads the settings file; prints findings and gives nothing if it can't be used.
+/// Reads the settings file and prints the findings. Empty if it has errors.
 std::optional<cardamomlift::settings::Settings> loadSettings(const std::string &path)
 {
     cardamomlift::Findings findings;
@@ -30,7 +30,7 @@
     return settings;
 }
 
-/// The settings file of the command line or, without one, of the environment; empty if neither names one.
+/// Path of the settings file from the command line or else from the environment; empty if neither names one.
 std::string settingsPath(const options::variables_map &values)
 {
     if (values.count("config")) {
@@ -63,7 +63,7 @@
         "settings file (JSON with comments)")("check-config", "check the settings and exit: 0 if they are right, 3 if not");
     options::variables_map values;
     try {
-        // No positional argument is known, so that a stray one is an error.
+        // There are no positional arguments: a stray one is an error.
         const options::positional_options_description none;
         options::store(options::command_line_parser(argc, argv).options(description).positional(none).run(), values);
     } catch (const options::error &error) {
--- a/src/daemon/settingsfile.h
+++ b/src/daemon/settingsfile.h
@@ -8,8 +8,8 @@
 
 namespace cardamomlift::daemon {
 
-/// Reads a settings file, in the product's own format or as the platform writes it. All that is wrong is added to
-/// @p findings; with an error there is no result.
+/// Reads a settings file, either in the product's own format or in the format that the platform writes. Adds everything that
+/// is wrong to @p findings. Empty if there is an error.
 std::optional<settings::Settings> readSettingsFile(const std::string &path, Findings &findings);
 
 } // namespace cardamomlift::daemon
--- a/src/daemon/settingsreload.cpp
+++ b/src/daemon/settingsreload.cpp
@@ -13,7 +13,7 @@
 using eventlog::Attribute;
 using eventlog::Event;
 
-/// How often the file is looked at, for changes that no signal tells.
+/// How often the file is checked for changes that no SIGHUP announces.
 constexpr Duration CheckPeriod = std::chrono::seconds(1);
 constexpr std::int64_t NanosecondsPerSecond = 1'000'000'000;
 
@@ -52,7 +52,8 @@
     Findings findings;
     const auto settings = readSettingsFile(path_, findings);
     if (!settings || !settings->routes) {
-        log->write(Event::ReloadFailed, {{Attribute::Reason, findings.empty() ? "the file is for another kind of daemon" : findings.front().message}});
+        log->write(Event::ReloadFailed,
+            {{Attribute::Reason, findings.empty() ? "the file has no settings of a daemon that forwards by routes" : findings.front().message}});
         return;
     }
     context_.get<forwarding::RouteGateway>()->applySettings(*settings->routes);
--- a/src/daemon/settingsreload.h
+++ b/src/daemon/settingsreload.h
@@ -7,12 +7,13 @@
 
 namespace cardamomlift::daemon {
 
-/// Applies a changed settings file to a daemon that serves routes: at SIGHUP, and when the file is seen to differ.
+/// Applies changes of the settings file to a running daemon that forwards requests by routes: on SIGHUP, and when the
+/// modification time of the file changes.
 class SettingsReload
 {
 public:
     SettingsReload(EventLoop &loop, Context &context, std::string path);
-    /// Reads the file now. Bounds take effect; addresses need a restart.
+    /// Reads the file and applies its limits. Changed addresses take effect only after a restart.
     void reload();
 
 private:
@@ -20,7 +21,7 @@
     EventLoop &loop_;
     Context &context_;
     std::string path_;
-    std::int64_t modifiedAt_ = 0; ///< Nanoseconds; of the file as it was read last.
+    std::int64_t modifiedAt_ = 0; ///< Modification time of the file when it was last read, in nanoseconds; 0 if unknown.
 };
 
 } // namespace cardamomlift::daemon
--- a/src/settings/internal/settingsreader.cpp
+++ b/src/settings/internal/settingsreader.cpp
@@ -11,22 +11,22 @@
 
 namespace {
 
-constexpr std::int64_t HighestPort = 65535;
-constexpr std::int64_t MostIdleSeconds = 3600;
+constexpr std::int64_t MaxPort = 65535;
+constexpr std::int64_t MaxIdleSeconds = 3600;
 constexpr std::size_t Sha256HexLength = 64;
-constexpr std::int64_t MostOpenRequests = 1'000'000;
-constexpr std::int64_t MostMegabytes = 65536;
-constexpr std::int64_t MostKilobytes = 1 << 20;
-constexpr std::int64_t MostDrainSeconds = 24 * 3600;
+constexpr std::int64_t MaxOpenRequests = 1'000'000;
+constexpr std::int64_t MaxMegabytes = 65536;
+constexpr std::int64_t MaxKilobytes = 1 << 20;
+constexpr std::int64_t MaxDrainSeconds = 24 * 3600;
 constexpr std::array<std::string_view, 4> LogLevels{"debug", "info", "warn", "error"};
 
-bool isAddress(const std::string &text)
+bool isIpv4Address(const std::string &text)
 {
     in_addr parsed{};
     return inet_pton(AF_INET, text.c_str(), &parsed) == 1;
 }
 
-/// "http://10.0.0.1:8000" or https, without a path.
+/// Whether @p text is an HTTP or HTTPS URL with an IPv4 address and no path, as in "http://10.0.0.1:8000".
 bool isEndpoint(std::string_view text)
 {
     for (const std::string_view scheme : {"http://", "https://"}) {
@@ -37,7 +37,7 @@
         const auto colon = host.find(':');
         const std::string_view port = colon == std::string_view::npos ? std::string_view("80") : host.substr(colon + 1);
         const bool isNumber = !port.empty() && port.find_first_not_of("0123456789") == std::string_view::npos;
-        return isNumber && isAddress(std::string(host.substr(0, colon)));
+        return isNumber && isIpv4Address(std::string(host.substr(0, colon)));
     }
     return false;
 }
@@ -46,12 +46,12 @@
 {
     const std::string endpoint = reader.text(name, required);
     if (!endpoint.empty() && !isEndpoint(endpoint)) {
-        reader.report(owner[name], std::string("\"") + name + "\" is not an endpoint.", "Write it as in \"http://10.0.0.1:8000\", with an IP number.");
+        reader.report(owner[name], std::string("\"") + name + "\" is not an endpoint.", "Write it as in \"http://10.0.0.1:8000\", with an IPv4 address.");
     }
     return endpoint;
 }
 
-/// A name that goes into request ids, whose parts are parted by other characters.
+/// Reads a name that becomes part of request ids. It must not contain the characters that separate the parts of an id.
 std::string readName(ObjectReader &reader, const Json::Value &owner, const char *name)
 {
     constexpr char Allowed[] = "abcdefghijklmnopqrstuvwxyzABCDEFGHIJKLMNOPQRSTUVWXYZ0123456789-_.";
@@ -80,16 +80,16 @@
     }
     ObjectReader reader(text, *value, what, findings);
     listen.address = reader.text("address", false, listen.address);
-    listen.port = static_cast<std::uint16_t>(reader.number("port", false, 0, 0, HighestPort));
+    listen.port = static_cast<std::uint16_t>(reader.number("port", false, 0, 0, MaxPort));
     listen.certificateFile = reader.text("certificateFile", false);
     listen.privateKeyFile = reader.text("privateKeyFile", false);
     listen.authorityFile = reader.text("authorityFile", false);
-    listen.idleSeconds = static_cast<unsigned>(reader.number("idleSeconds", false, listen.idleSeconds, 1, MostIdleSeconds));
-    if (!isAddress(listen.address)) {
-        reader.report((*value)["address"], "\"address\" is not an IPv4 number.", "Write it as in \"10.0.0.1\"; names are not looked up.");
+    listen.idleSeconds = static_cast<unsigned>(reader.number("idleSeconds", false, listen.idleSeconds, 1, MaxIdleSeconds));
+    if (!isIpv4Address(listen.address)) {
+        reader.report((*value)["address"], "\"address\" is not an IPv4 address.", "Write it as in \"10.0.0.1\"; host names are not resolved.");
     }
     if (listen.certificateFile.empty() != listen.privateKeyFile.empty()) {
-        reader.report(*value, "Only one of \"certificateFile\" and \"privateKeyFile\" is given.", "Give both for TLS, or none for plaintext.");
+        reader.report(*value, "Only one of \"certificateFile\" and \"privateKeyFile\" is given.", "Give both for TLS, or neither for plaintext.");
     }
     reader.rejectUnknown();
     return listen;
@@ -102,7 +102,7 @@
             platform.vms.push_back(std::move(*vm));
             continue;
         }
-        findings.push_back(text.findingAt(entry, "This is not a VM.", "Give instance, address, zone, role (model or service), port and serves."));
+        findings.push_back(text.findingAt(entry, "This is not a valid VM.", "Give instance, address, zone, role (model or service), port and serves."));
     }
 }
 
@@ -138,14 +138,14 @@
         return limits;
     }
     ObjectReader reader(text, *value, "\"limits\"", findings);
-    const auto read = [&](const char *name, std::size_t fallback, std::int64_t high) {
-        return static_cast<std::size_t>(reader.number(name, false, static_cast<std::int64_t>(fallback), 1, high));
+    const auto read = [&](const char *name, std::size_t fallback, std::int64_t max) {
+        return static_cast<std::size_t>(reader.number(name, false, static_cast<std::int64_t>(fallback), 1, max));
     };
-    limits.openRequests = read("openRequests", limits.openRequests, MostOpenRequests);
-    limits.memoryMegabytes = read("memoryMegabytes", limits.memoryMegabytes, MostMegabytes);
-    limits.bodyKilobytes = read("bodyKilobytes", limits.bodyKilobytes, MostKilobytes);
-    limits.callerBufferKilobytes = read("callerBufferKilobytes", limits.callerBufferKilobytes, MostKilobytes);
-    limits.drainSeconds = read("drainSeconds", limits.drainSeconds, MostDrainSeconds);
+    limits.openRequests = read("openRequests", limits.openRequests, MaxOpenRequests);
+    limits.memoryMegabytes = read("memoryMegabytes", limits.memoryMegabytes, MaxMegabytes);
+    limits.bodyKilobytes = read("bodyKilobytes", limits.bodyKilobytes, MaxKilobytes);
+    limits.callerBufferKilobytes = read("callerBufferKilobytes", limits.callerBufferKilobytes, MaxKilobytes);
+    limits.drainSeconds = read("drainSeconds", limits.drainSeconds, MaxDrainSeconds);
     reader.rejectUnknown();
     return limits;
 }
