--- a/src/daemon/daemon.h
+++ b/src/daemon/daemon.h
@@ -19,7 +19,7 @@
     static Result<std::unique_ptr<Daemon>> create(settings::Settings settings);
     ~Daemon();
 
-    /// Prints the ready line on standard output and runs until SIGTERM or SIGINT, which start a drain, and the drain's end.
+    /// Prints the ready line on standard output and runs until a drain, which SIGTERM or SIGINT starts, is complete.
     /// @p settingsFile: the file that the settings come from, to be read again when it changes; empty: there is none.
     void run(const std::string &settingsFile);
 
--- a/src/settings/settingstypes.h
+++ b/src/settings/settingstypes.h
@@ -63,9 +63,9 @@
     bool strictKeys = true; ///< A revoked key must be refused once keyRevocationTime has passed.
     Duration keyRevocationTime = std::chrono::seconds(5);
     Duration shutdownGrace = std::chrono::seconds(8); ///< Time from SIGTERM until the platform kills the process.
-    Duration leaseDuration = std::chrono::seconds(3); ///< Of the leader lease. No other VM may act as the leader within this time after its last renewal.
+    Duration leaseDuration = std::chrono::seconds(3); ///< Of the leader lease. No other VM may act as the leader within this time after the last renewal.
     Duration usageWindow = std::chrono::seconds(5); ///< Usage is counted and reported per window of this length.
-    Duration usageReportDeadline = std::chrono::seconds(10); ///< After the end of a window.
+    Duration usageReportDeadline = std::chrono::seconds(10); ///< Time after the end of a window within which its usage must be reported.
     double retryRatio = 0.2; ///< Retries allowed per first attempt to a service, over all VMs.
     double retrySlack = 10; ///< Retries allowed on top of these per retry window.
     rollout::RolloutLimits rollouts;
