--- a/src/membership/gossip.h
+++ b/src/membership/gossip.h
@@ -12,20 +12,21 @@
 
 namespace cardamomlift::membership {
 
-/// Counts of one VM's gossip, for tests and docs/CAPACITY.md.
+/// Gossip counters of one VM, for tests and docs/CAPACITY.md.
 struct GossipCounters {
-    std::uint64_t news = 0; ///< Rumours that were new here.
-    std::uint64_t duplicates = 0; ///< Rumours that came again.
-    std::uint64_t rejected = 0;
+    std::uint64_t accepted = 0; ///< Rumours that were new to this VM.
+    std::uint64_t duplicates = 0; ///< Rumours that were held already, in the same or a higher version.
+    std::uint64_t rejected = 0; ///< Rumours that were expired, too long, or did not fit into the store.
     std::uint64_t pushes = 0; ///< Push messages sent.
-    std::uint64_t comparisons = 0; ///< Comparisons started.
-    std::uint64_t mismatches = 0; ///< Of these, with different digests.
+    std::uint64_t comparisons = 0; ///< Digest comparisons started.
+    std::uint64_t mismatches = 0; ///< Comparisons in which the digests differed.
 };
 
-/// Spreads rumours over all entry VMs through a fixed small set of neighbours.
+/// Disseminates rumours to all entry VMs through a small, bounded set of neighbours.
 ///
-/// News is pushed once to each neighbour but the one it came from. Every few seconds the VM compares a digest with one
-/// neighbour, which repairs lost pushes and brings a restarted VM up to date. Handlers run on the loop's thread.
+/// A new rumour is pushed once to each neighbour except the one it came from. Every few seconds the VM compares digests
+/// with one neighbour (anti-entropy); this repairs lost pushes and brings a restarted VM up to date. Handlers run on the
+/// event loop's thread.
 class Gossip
 {
 public:
@@ -33,21 +34,21 @@
 
     static std::shared_ptr<Gossip> create(EventLoop &loop, std::shared_ptr<peers::PeerTransport> transport);
 
-    /// Sets the neighbours; a first neighbour is compared with at once.
+    /// Replaces the neighbours. If there were none before, starts a comparison at once.
     void setNeighbours(std::vector<peers::PeerAddress> neighbours);
     const std::vector<peers::PeerAddress> &neighbours() const;
-    /// Starts the periodic comparison.
+    /// Starts the periodic comparison and the removal of expired rumours.
     void start();
 
-    /// Spreads a fact for @p ttl. Returns false if this version is known already, or the rumour is refused. Handlers of
-    /// the topic are called on this VM too.
+    /// Publishes a rumour to all entry VMs for @p ttl. Handlers of the topic are called on this VM too. Returns false if this
+    /// or a higher version is held already, or if the rumour is rejected.
     bool publish(const std::string &topic, const std::string &key, std::uint64_t version, std::string payload, Duration ttl);
-    /// Calls @p handler for each rumour of @p topic held now, and for each that is news later.
+    /// Calls @p handler for each rumour of @p topic held now, and later for each new one.
     void onRumour(const std::string &topic, Handler handler);
-    /// The highest version held, or null.
+    /// The rumour held for this topic and key, or null.
     const Rumour *find(const std::string &topic, const std::string &key) const;
     void forEach(const std::string &topic, const Handler &visit) const;
-    /// Compares with the next neighbour now.
+    /// Starts a digest comparison with the next neighbour, unless one is in progress.
     void compareNow();
     std::size_t size() const;
     const GossipCounters &counters() const;
@@ -55,7 +56,7 @@
 private:
     struct PendingRumour {
         Rumour rumour;
-        std::string from; ///< The neighbour it came from; empty: this VM.
+        std::string from; ///< The neighbour it came from; empty if it was published on this VM.
     };
     Gossip() = default;
     bool accept(const Rumour &rumour, const std::string &from);
--- a/src/membership/health.h
+++ b/src/membership/health.h
@@ -7,51 +7,55 @@
 
 namespace cardamomlift::membership {
 
-/// A statement about one entry VM. Of two statements the higher version counts: within one incarnation suspicion beats
-/// life and failure beats suspicion; only the VM itself raises its incarnation.
+/// The health of one entry VM in one of its incarnations, as spread by gossip. Of two statuses the one with the higher
+/// version counts: a higher incarnation overrides a lower one, and within one incarnation Failed overrides Suspected, which
+/// overrides Alive. Only the VM itself raises its incarnation.
 struct HealthStatus {
     std::uint64_t incarnation = 0;
     Health health = Health::Alive;
 };
 
+/// The rumour version that encodes @p status.
 std::uint64_t versionOf(const HealthStatus &status);
+/// Decodes a rumour version; the inverse of versionOf().
 HealthStatus statusOf(std::uint64_t version);
 
-/// What a VM answers to a statement about itself: life in the next incarnation, if the statement denies it.
+/// True if this VM must refute a status about itself, that is, publish Alive in the next incarnation.
 bool mustRefute(const HealthStatus &aboutSelf);
 
-/// What one VM knows of a neighbour from its own heartbeats.
+/// What one VM knows of a neighbour from its own probes.
 struct ProbeRecord {
-    TimePoint firstProbed; ///< Silence counts from here on: a VM may be listed before its daemon is up.
-    TimePoint lastHeard; ///< Last sign of life that came directly.
-    unsigned missedRounds = 0; ///< Rounds in a row without an answer, neither direct nor through others.
+    TimePoint firstProbed; ///< Silence is counted from here at the earliest: a VM may be listed before its daemon is up.
+    TimePoint lastHeard; ///< The last answer or ping that came directly from the neighbour.
+    unsigned missedRounds = 0; ///< Consecutive rounds without an answer to either a direct or an indirect probe.
 };
 
-/// When a silent neighbour is suspected, and when it counts as failed.
+/// When an unresponsive neighbour is suspected, and when it counts as failed.
 struct FailureThresholds {
     unsigned missedRoundsToSuspect = 3;
-    Duration silenceToSuspect = std::chrono::seconds(5); ///< Without any sign of life, also a late one.
-    Duration suspicionTimeout = std::chrono::seconds(5);
+    Duration silenceToSuspect = std::chrono::seconds(5); ///< Time without any direct answer or ping; late answers count as well.
+    Duration suspicionTimeout = std::chrono::seconds(5); ///< From Suspected to Failed, if the suspicion is not refuted.
 };
 
-/// Time without a direct sign of life.
+/// Time since the neighbour was last heard directly, or since it was first probed.
 Duration timeSinceHeard(const ProbeRecord &record, TimePoint now);
-/// A neighbour answered, also late.
+/// Records that the neighbour answered a direct probe. Late answers count as well.
 void recordAnswer(ProbeRecord &record, TimePoint now);
-/// A whole round passed without an answer.
+/// Records a round without an answer to any probe.
 void recordMissedRound(ProbeRecord &record);
 
-/// What else a judgement rests on.
+/// What nextStatus() takes into account besides the probe record.
 struct ProbeEvidence {
-    Duration silentFor{0}; ///< Since the neighbour's last direct sign of life.
-    Duration statusAge{0}; ///< Age of the held statement on this VM.
-    bool selfIsPartitioned = false;
+    Duration silentFor{0}; ///< See timeSinceHeard().
+    Duration statusAge{0}; ///< Time since this VM learned the held status.
+    bool selfIsPartitioned = false; ///< See isPartitioned() in reachability.h.
 };
 
-/// The statement this VM should spread about a neighbour now.
+/// The status this VM should publish about a neighbour after a missed round; @p held if nothing changes.
 ///
-/// @p held is the statement in force. A VM that is itself cut off judges nobody. Failure needs
-/// that this VM got no answer either and that the suspicion stood unrefuted for the timeout: a slow peer refutes in time.
+/// @p held is the status with the highest version known. A VM that is itself partitioned changes no status. A suspected
+/// neighbour becomes Failed only if it still misses this VM's own probes and did not refute the suspicion within the
+/// timeout; a VM that is merely slow refutes in time.
 HealthStatus nextStatus(const ProbeRecord &record, const HealthStatus &held, const ProbeEvidence &evidence, const FailureThresholds &thresholds = {});
 
 } // namespace cardamomlift::membership
--- a/src/membership/heartbeat.h
+++ b/src/membership/heartbeat.h
@@ -11,19 +11,19 @@
 
 namespace cardamomlift::membership {
 
-/// Exchanges heartbeats with the neighbours of the gossip and spreads who is suspected or failed.
+/// Failure detector in the manner of SWIM: probes the gossip neighbours and publishes which VMs are suspected or failed.
 ///
-/// Twice a second one neighbour is called in turn. Without an answer two VMs beside it are asked to call it; only when they
-/// get none either does the round count as missed. See health.h for what follows.
+/// Twice a second the next neighbour is pinged. If it does not answer in time, two of its own neighbours are asked to ping
+/// it; the round counts as missed only if they get no answer either. See health.h for what missed rounds lead to.
 class Heartbeat
 {
 public:
-    /// @p self describes this VM to those that don't know it yet.
+    /// @p self is the description of this VM that is sent to VMs that do not know it yet.
     static std::shared_ptr<Heartbeat> create(
         EventLoop &loop, std::shared_ptr<peers::PeerTransport> transport, std::shared_ptr<Members> members, std::shared_ptr<Gossip> gossip, Vm self);
 
     void start();
-    /// What this VM can hear now.
+    /// Which entry VMs this VM can hear now.
     Reachability reachability() const;
 
 private:
@@ -51,7 +51,7 @@
     Vm self_;
     std::map<std::string, ProbeRecord> records_;
     std::map<std::string, TimePoint> healthChangedAt_;
-    std::map<std::string, bool> needsDescription_; ///< Neighbours that don't know this VM.
+    std::map<std::string, bool> needsDescription_; ///< Per neighbour: true if it does not know this VM, by its last reply.
     std::size_t nextProbeIndex_ = 0;
     TimePoint lastTick_;
     TimePoint lastAnyHeard_;
--- a/src/membership/internal/gossip.cpp
+++ b/src/membership/internal/gossip.cpp
@@ -14,7 +14,8 @@
 constexpr char ExchangeTopic[] = "gossip.exchange";
 constexpr Duration ComparePeriod = std::chrono::seconds(5);
 constexpr Duration CallTimeout = std::chrono::seconds(2);
-// Rumours about to expire are left out of a comparison, so that clocks a little apart give no difference.
+// Rumours that expire within this margin are left out of a comparison: with slightly different clocks, one VM may have
+// dropped them already while the other still holds them, and the digests would differ.
 constexpr Duration HorizonMargin = std::chrono::minutes(1);
 constexpr std::size_t MaxExchangeBytes = 512 * 1024;
 
@@ -42,7 +43,7 @@
     return {in.topic(), in.key(), in.version(), in.payload(), fromMs(in.expires_at_ms())};
 }
 
-/// Adds the rumours of @p ids up to the bytes one message may carry; the next comparison brings the rest.
+/// Adds the rumours of @p ids to @p message until it exceeds MaxExchangeBytes. The next comparison brings the rest.
 template<class Message>
 void addRumours(const RumourStore &store, std::span<const std::uint64_t> ids, Message &message)
 {
@@ -136,7 +137,7 @@
         (outcome == OfferOutcome::Known ? counters_.duplicates : counters_.rejected)++;
         return false;
     }
-    counters_.news++;
+    counters_.accepted++;
     if (pending_.empty()) {
         loop_->post([this] { sendPending(); });
     }
@@ -145,7 +146,7 @@
     if (found == handlers_.end()) {
         return true;
     }
-    // NOTE A handler may publish or register, which changes the containers: work on copies.
+    // NOTE A handler may publish rumours or register handlers, which modifies handlers_; iterate over a copy.
     const std::vector<Handler> handlers = found->second;
     for (const Handler &handler : handlers) {
         handler(rumour);
@@ -153,13 +154,13 @@
     return true;
 }
 
-// All news of one turn of the loop goes out in one message to each neighbour.
+// Sends all rumours accepted since the last call, in one message to each neighbour.
 void Gossip::sendPending()
 {
-    const std::vector<PendingRumour> news = std::exchange(pending_, {});
+    const std::vector<PendingRumour> rumours = std::exchange(pending_, {});
     for (const peers::PeerAddress &peer : neighbours_) {
         wire::Push push;
-        for (const PendingRumour &pending : news) {
+        for (const PendingRumour &pending : rumours) {
             if (pending.from != peer.instance) {
                 toWire(pending.rumour, *push.add_rumours());
             }
@@ -239,11 +240,11 @@
     addRumours(store_, difference.offered, request);
     request.mutable_wanted()->Add(difference.wanted.begin(), difference.wanted.end());
     transport_->send(peer, ExchangeTopic, request.SerializeAsString(), CallTimeout, [this, from = peer.instance](const Result<std::string> &answer) {
-        wire::ExchangeReply rumours;
-        if (!answer || !rumours.ParseFromString(answer.value())) {
+        wire::ExchangeReply exchanged;
+        if (!answer || !exchanged.ParseFromString(answer.value())) {
             return;
         }
-        for (const wire::Rumour &rumour : rumours.rumours()) {
+        for (const wire::Rumour &rumour : exchanged.rumours()) {
             accept(fromWire(rumour), from);
         }
     });
--- a/src/membership/internal/heartbeat.cpp
+++ b/src/membership/internal/heartbeat.cpp
@@ -15,10 +15,10 @@
 constexpr Duration ProbePeriod = std::chrono::milliseconds(500);
 constexpr Duration DirectTimeout = std::chrono::milliseconds(500);
 constexpr Duration IndirectTimeout = std::chrono::seconds(1);
-// Longer than a round: an answer that comes late is still a sign of life.
+// Longer than a round: a late answer still shows that the VM is alive.
 constexpr Duration PingTimeout = std::chrono::seconds(4);
-constexpr Duration HeardWindow = std::chrono::seconds(10);
-// A tick this late means that the process was paused: what it missed says nothing about others.
+constexpr Duration HeardWindow = std::chrono::seconds(10); // A VM last heard longer ago does not count as heard.
+// A tick this late means that this process was paused; answers missed meanwhile say nothing about other VMs.
 constexpr Duration PauseThreshold = std::chrono::seconds(2);
 constexpr Duration HealthTtl = std::chrono::hours(2);
 constexpr std::size_t IndirectProbers = 2;
@@ -54,7 +54,7 @@
     const bool wasPaused = loop_->now() - lastTick_ >= PauseThreshold;
     lastTick_ = loop_->now();
     if (wasPaused) {
-        partLogger("membership")->warn("This VM was paused.");
+        partLogger("membership")->warn("This process was paused; discarding its probe results.");
         records_.clear();
         gossip_->compareNow();
     }
@@ -69,7 +69,7 @@
     if (next) {
         probe(*next);
     }
-    // A neighbour that missed a round is called at each turn, so that it is judged within seconds.
+    // Each tick also probes one neighbour that missed its last round, so that it is suspected or cleared within seconds.
     for (const peers::PeerAddress &neighbour : neighbours) {
         const Vm *vm = members_->find(neighbour.instance);
         const bool isFailed = members_->healthOf(neighbour.instance) == Health::Failed;
@@ -115,7 +115,7 @@
     });
 }
 
-// The neighbours of the target have connections to it already.
+// Asks neighbours of the target, as they have connections to it already.
 void Heartbeat::probeIndirectly(const Vm &target, const RoundPtr &round)
 {
     wire::Relay relay;
@@ -142,7 +142,8 @@
 
 void Heartbeat::endRound(const std::string &instance, const RoundPtr &round)
 {
-    // NOTE After a pause the timers run before the answers that wait in the sockets.
+    // NOTE After a pause of this process, timers run before the answers waiting in the sockets are read, so the round may
+    // have been answered.
     if (loop_->now() - lastTick_ >= PauseThreshold) {
         return;
     }
@@ -169,7 +170,7 @@
     if (versionOf(next) == versionOf(held)) {
         return;
     }
-    partLogger("membership")->warn("A VM does not answer. vm={} state={}", instance, nameOf(next.health));
+    partLogger("membership")->warn("An entry VM does not answer heartbeats. vm={} state={}", instance, nameOf(next.health));
     gossip_->publish(HealthTopic, instance, versionOf(next), "", HealthTtl);
 }
 
@@ -178,7 +179,7 @@
     const HealthStatus status = statusOf(rumour.version);
     if (rumour.key == self_.instance) {
         if (mustRefute(status)) {
-            partLogger("membership")->warn("Others took this VM for {}.", nameOf(status.health));
+            partLogger("membership")->warn("Refuting a report that this VM is {}.", nameOf(status.health));
             gossip_->publish(HealthTopic, self_.instance, versionOf({status.incarnation + 1, Health::Alive}), "", HealthTtl);
         }
         return;
@@ -204,7 +205,7 @@
 {
     wire::Relay relay;
     if (!relay.ParseFromString(payload)) {
-        reply(failure(ErrorKind::Denied, "not a relay request"));
+        reply(failure(ErrorKind::Denied, "invalid heartbeat.relay payload"));
         return;
     }
     const peers::PeerAddress target{relay.instance(), relay.address(), static_cast<std::uint16_t>(relay.port())};
--- a/src/membership/rumourstore.h
+++ b/src/membership/rumourstore.h
@@ -12,49 +12,51 @@
 
 namespace cardamomlift::membership {
 
-/// A fact that spreads over all entry VMs. Of one topic and key only the highest version counts; whoever makes two
-/// payloads of one version must not care which of them a VM keeps.
+/// A versioned fact that is disseminated to all entry VMs. Only the highest version of a topic and key is kept. If two
+/// payloads are published with the same version, each VM keeps the one it received first, so VMs may hold different ones;
+/// a publisher must accept either.
 struct Rumour {
     std::string topic;
     std::string key;
     std::uint64_t version = 0;
     std::string payload;
-    WallTime expires; ///< Forgotten everywhere after this.
+    WallTime expires; ///< Every VM drops the rumour after this time.
 };
 
-/// Names one rumour and its version in a few bytes.
+/// Identifies one rumour and its version in a few bytes.
 struct RumourSummary {
     std::uint64_t id = 0; ///< Hash of topic and key.
     std::uint64_t version = 0;
 };
 
-/// Bounds of a board, against a peer that offers too much.
+/// Bounds of a RumourStore, as protection against a peer that sends too much.
 struct RumourLimits {
     std::size_t maxRumours = 20000;
     std::size_t maxPayloadBytes = 64 * 1024; ///< Bytes.
 };
 
-/// What became of an offered rumour.
+/// The result of RumourStore::offer().
 enum class OfferOutcome {
-    Accepted, ///< Higher than what was held.
+    Accepted, ///< Stored: nothing, or only a lower version, was held.
     Known, ///< This version, or a higher one, is held already.
-    Rejected, ///< Expired, too long, or the board is full.
+    Rejected, ///< Expired, too long, or the store is full.
 };
 
-/// The rumours one VM holds. The result does not depend on the order of the offers.
+/// The rumours one VM holds. The versions it ends up with do not depend on the order in which rumours are offered.
 class RumourStore
 {
 public:
     explicit RumourStore(RumourLimits limits = {});
 
     OfferOutcome offer(const Rumour &rumour, WallTime now);
-    /// The held rumour, or null.
+    /// The rumour held for this topic and key, or null.
     const Rumour *find(const std::string &topic, const std::string &key) const;
     const Rumour *findById(std::uint64_t id) const;
     /// Calls @p visit for each held rumour of @p topic.
     void forEach(const std::string &topic, const std::function<void(const Rumour &rumour)> &visit) const;
-    /// One hash over all rumours that live beyond @p horizon.
+    /// One hash over the ids and versions of all rumours that expire after @p horizon.
     std::uint64_t digest(WallTime horizon) const;
+    /// The summaries of all rumours that expire after @p horizon.
     std::vector<RumourSummary> summaries(WallTime horizon) const;
     void dropExpired(WallTime now);
     std::size_t size() const;
@@ -66,13 +68,13 @@
     std::map<std::uint64_t, const Rumour *> byId_;
 };
 
-/// The id of a topic and key in summaries.
+/// Hash of a topic and key, used as RumourSummary::id.
 std::uint64_t rumourId(const std::string &topic, const std::string &key);
 
-/// What two VMs owe each other after comparing summaries.
+/// The ids of rumours that two VMs hold in different versions, or that only one of them holds.
 struct RumourDifference {
-    std::vector<std::uint64_t> wanted; ///< The other side's are newer.
-    std::vector<std::uint64_t> offered; ///< Ours are newer.
+    std::vector<std::uint64_t> wanted; ///< To request: the other side holds a newer version, or is the only one to hold the rumour.
+    std::vector<std::uint64_t> offered; ///< To send: this side holds a newer version, or is the only one to hold the rumour.
 };
 
 RumourDifference compareSummaries(std::span<const RumourSummary> ours, std::span<const RumourSummary> theirs);
