--- a/src/bench/recovery/wavemodel.cpp
+++ b/src/bench/recovery/wavemodel.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-using recovery::RecoveryWay;
+using recovery::RecoveryMethod;
 
 constexpr Duration Step = std::chrono::milliseconds(5);
 constexpr Duration AssumedNotice = std::chrono::seconds(2); ///< As in RecoveringClient.
@@ -96,38 +96,38 @@
             if (policy_ == Policy::AlwaysRecompute) {
                 recompute(stream, uncached(stream));
             } else if (policy_ == Policy::Decision) {
-                carryOut(stream, recovery::planRecovery(questionOf(stream)).way);
+                carryOut(stream, recovery::planRecovery(inputsOf(stream)).method);
             }
         }
     }
 
-    recovery::RecoveryQuestion questionOf(const Stream &stream) const
+    recovery::RecoveryInputs inputsOf(const Stream &stream) const
     {
         const EntryVm &entry = entries_[stream.entry];
-        recovery::RecoveryQuestion question;
-        question.promptTokens = stream.prompt;
-        question.tokensSoFar = stream.soFar;
-        question.tokensLeft = stream.left;
-        question.reclaimLeft = std::max(Duration(0), AssumedNotice - elapsed());
-        question.betweenTokens = wave_.betweenTokens;
-        question.cachedShareAtTarget = wave_.cachedShare;
-        question.prefillTokensPerMs = wave_.prefillTokensPerMs;
-        question.prefillQueueTokens = entry.prefillInFlight;
-        question.canMoveKv = bytesOf(stream) <= recovery::LargestCache;
-        question.isKvRateKnown = entry.isKvRateKnown;
-        question.kvBytesPerToken = static_cast<double>(wave_.kvBytesPerToken);
-        question.kvBytesPerMs = wave_.kvBytesPerMs;
-        question.kvQueueBytes = entry.bytesInFlight;
-        return question;
+        recovery::RecoveryInputs inputs;
+        inputs.promptTokens = stream.prompt;
+        inputs.tokensSoFar = stream.soFar;
+        inputs.tokensLeft = stream.left;
+        inputs.reclaimLeft = std::max(Duration(0), AssumedNotice - elapsed());
+        inputs.betweenTokens = wave_.betweenTokens;
+        inputs.cachedShareAtTarget = wave_.cachedShare;
+        inputs.prefillTokensPerMs = wave_.prefillTokensPerMs;
+        inputs.prefillQueueTokens = entry.prefillInFlight;
+        inputs.canMoveKv = bytesOf(stream) <= recovery::MaxTransferBytes;
+        inputs.isKvRateKnown = entry.isKvRateKnown;
+        inputs.kvBytesPerToken = static_cast<double>(wave_.kvBytesPerToken);
+        inputs.kvBytesPerMs = wave_.kvBytesPerMs;
+        inputs.kvQueueBytes = entry.bytesInFlight;
+        return inputs;
     }
 
-    void carryOut(Stream &stream, RecoveryWay way)
+    void carryOut(Stream &stream, RecoveryMethod method)
     {
         EntryVm &entry = entries_[stream.entry];
-        if (way == RecoveryWay::Recompute) {
+        if (method == RecoveryMethod::Recompute) {
             recompute(stream, uncached(stream));
         }
-        if (way != RecoveryWay::MoveKv || !recovery::mayTransferNow(bytesOf(stream), entry.bytesInFlight, entry.transfers, entry.isKvRateKnown)) {
+        if (method != RecoveryMethod::MoveKv || !recovery::canStartTransfer(bytesOf(stream), entry.bytesInFlight, entry.transfers, entry.isKvRateKnown)) {
             return;
         }
         stream.transferring = true;
--- a/src/gateway/chathandler.h
+++ b/src/gateway/chathandler.h
@@ -28,13 +28,13 @@
         const ChatRequest &request,
         const contract::ModelGrant &grant,
         const contract::ServiceClass &serviceClass,
-        TimePoint firstTokenBy,
+        TimePoint firstTokenDeadline,
         std::uint64_t ticket);
     void stream(const CallerRequest &caller, streams::StreamState state, std::uint64_t ticket);
     void collect(const CallerRequest &caller, streams::StreamState state, std::uint64_t ticket);
     void releaseAtEnd(const std::shared_ptr<streams::StreamSession> &session, std::uint64_t ticket);
     void endRequest(const streams::StreamSession &session, std::uint64_t ticket);
-    streams::StreamView wholeView(const CallerRequest &caller, const streams::StreamSession &session, std::uint64_t ticket);
+    streams::StreamObserver wholeAnswerObserver(const CallerRequest &caller, const streams::StreamSession &session, std::uint64_t ticket);
     GatewayTools tools_;
     std::unordered_map<std::string, std::shared_ptr<streams::StreamSession>> sessions_; ///< Not streamed.
 };
--- a/src/gateway/gatewaytypes.h
+++ b/src/gateway/gatewaytypes.h
@@ -12,7 +12,7 @@
 #include "lifecycle/lifecycle.h"
 #include "metrics/metrics.h"
 #include "retry/attemptplanner.h"
-#include "streams/streamkeeper.h"
+#include "streams/streamregistry.h"
 
 #include <memory>
 #include <string>
@@ -34,7 +34,7 @@
     std::shared_ptr<fleet::DemandMeter> demand;
     std::shared_ptr<lifecycle::Lifecycle> lifecycle;
     std::shared_ptr<membership::Members> members;
-    std::shared_ptr<streams::StreamKeeper> keeper;
+    std::shared_ptr<streams::StreamRegistry> streamRegistry;
     std::shared_ptr<MemoryGuard> memory;
 };
 
--- a/src/gateway/internal/chathandler.cpp
+++ b/src/gateway/internal/chathandler.cpp
@@ -16,7 +16,7 @@
 admission::Usage usageOf(const streams::StreamSession &session)
 {
     const streams::StreamState &state = session.state();
-    return {state.promptTokens, static_cast<std::int64_t>(state.tokens.size()), !state.tokens.empty(), session.goesOnElsewhere()};
+    return {state.promptTokens, static_cast<std::int64_t>(state.tokens.size()), !state.tokens.empty(), session.wasHandedOver()};
 }
 
 } // namespace
@@ -76,9 +76,9 @@
     question.mostPromptTokens = static_cast<std::int64_t>(request->messagesJson.size());
     question.mostOutputTokens = std::min(request->maxTokens.value_or(grant->maxOutputTokens), grant->maxOutputTokens);
     question.estimatedTokens = request->estimatedPromptTokens + question.mostOutputTokens;
-    const TimePoint firstTokenBy = tools_.loop->now() + std::chrono::milliseconds(serviceClass->waitUpToMs + serviceClass->firstTokenMs);
+    const TimePoint firstTokenDeadline = tools_.loop->now() + std::chrono::milliseconds(serviceClass->waitUpToMs + serviceClass->firstTokenMs);
     tools_.admission->ask(
-        question, [this, caller, request = *request, grant = *grant, serviceClass = *serviceClass, firstTokenBy](admission::AdmissionDecision decision) {
+        question, [this, caller, request = *request, grant = *grant, serviceClass = *serviceClass, firstTokenDeadline](admission::AdmissionDecision decision) {
             if (!decision.admitted) {
                 refuse(caller, {decision.reason, std::string(admission::refusalMessage(decision.reason)), decision.retryAfter});
                 return;
@@ -87,7 +87,7 @@
                 tools_.admission->release(decision.ticket, {});
                 return;
             }
-            start(caller, request, grant, serviceClass, firstTokenBy, decision.ticket);
+            start(caller, request, grant, serviceClass, firstTokenDeadline, decision.ticket);
         });
 }
 
@@ -95,11 +95,11 @@
     const ChatRequest &request,
     const contract::ModelGrant &grant,
     const contract::ServiceClass &serviceClass,
-    TimePoint firstTokenBy,
+    TimePoint firstTokenDeadline,
     std::uint64_t ticket)
 {
     streams::StreamState state;
-    state.requestId = tools_.keeper->newRequestId();
+    state.requestId = tools_.streamRegistry->newRequestId();
     state.customer = caller.contract->contract.customer;
     state.serviceClass = serviceClass.name;
     state.model = request.model;
@@ -109,7 +109,7 @@
     state.seed = request.seed.value_or(text::stableHash(state.requestId) >> 1);
     state.priority = static_cast<int>(serviceClass.priority);
     state.prefixHash = request.prefixHash;
-    state.firstTokenBy = firstTokenBy;
+    state.firstTokenDeadline = firstTokenDeadline;
     if (request.stream) {
         stream(caller, std::move(state), ticket);
     } else {
@@ -135,7 +135,7 @@
         tools_.metrics->add("requests_accepted_total");
         streamTo(tools_, open, responder, 0, [admission = tools_.admission, ticket] { admission->firstToken(ticket); });
     };
-    const auto opened = tools_.keeper->open(std::move(state), onAccepted);
+    const auto opened = tools_.streamRegistry->open(std::move(state), onAccepted);
     *session = opened;
     releaseAtEnd(opened, ticket);
     caller.responder->onClosed([session] {
@@ -156,26 +156,26 @@
         tools_.loop->post([this, requestId] { sessions_.erase(requestId); });
     });
     caller.responder->onClosed([session] { session->cancel(); });
-    session->attach(0, wholeView(caller, *session, ticket));
+    session->attach(0, wholeAnswerObserver(caller, *session, ticket));
     session->start();
 }
 
-streams::StreamView ChatHandler::wholeView(const CallerRequest &caller, const streams::StreamSession &session, std::uint64_t ticket)
+streams::StreamObserver ChatHandler::wholeAnswerObserver(const CallerRequest &caller, const streams::StreamSession &session, std::uint64_t ticket)
 {
-    streams::StreamView view;
-    view.onToken = [this, ticket](std::uint64_t, const std::string &) {
+    streams::StreamObserver observer;
+    observer.onToken = [this, ticket](std::uint64_t, const std::string &) {
         tools_.admission->firstToken(ticket);
     };
-    view.onFinished = [this, &session, responder = caller.responder] {
+    observer.onFinished = [this, &session, responder = caller.responder] {
         http::Response response = wholeAnswer(session.state());
         addServedBy(response.headers, tools_.instance, session.state());
         tools_.metrics->add("requests_accepted_total");
         responder->respond(std::move(response));
     };
-    view.onFailed = [this, caller](const streams::StreamFailure &failure) {
+    observer.onFailed = [this, caller](const streams::StreamFailure &failure) {
         refuse(caller, toCallerError(failure));
     };
-    return view;
+    return observer;
 }
 
 } // namespace cardamomlift::gateway
--- a/src/gateway/internal/chatstream.cpp
+++ b/src/gateway/internal/chatstream.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-/// The connection of the caller who reads a session now. Owned by the session's view, so it must not own the session.
+/// The connection of the caller who reads a session now. Owned by the session's observer, so it must not own the session.
 struct Reader {
     GatewayTools tools;
     streams::StreamSession *session = nullptr;
@@ -64,7 +64,7 @@
         }
         isCurrent = false;
         responder->abort();
-        tools.keeper->readerLost(session->state().requestId);
+        tools.streamRegistry->onReaderDisconnected(session->state().requestId);
     }
 
     void onReplaced()
@@ -103,17 +103,17 @@
     std::function<void()> onToken)
 {
     auto reader = std::make_shared<Reader>(Reader{tools, session.get(), responder, chunkFrame(session->state()), std::move(onToken)});
-    streams::StreamView view;
-    view.onToken = [reader](std::uint64_t at, const std::string &text) {
+    streams::StreamObserver observer;
+    observer.onToken = [reader](std::uint64_t at, const std::string &text) {
         reader->onToken(at, text);
     };
-    view.onFinished = [reader] {
+    observer.onFinished = [reader] {
         reader->onFinished();
     };
-    view.onFailed = [reader](const streams::StreamFailure &failure) {
+    observer.onFailed = [reader](const streams::StreamFailure &failure) {
         reader->onFailed(failure);
     };
-    view.onReplaced = [reader] {
+    observer.onReplaced = [reader] {
         reader->onReplaced();
     };
     // NOTE The session may be gone by the time the connection ends, the reader too.
@@ -124,7 +124,7 @@
             current->giveUp();
         }
     });
-    session->attach(position, std::move(view));
+    session->attach(position, std::move(observer));
 }
 
 } // namespace cardamomlift::gateway
--- a/src/gateway/internal/resumehandler.cpp
+++ b/src/gateway/internal/resumehandler.cpp
@@ -59,17 +59,18 @@
     }
     const std::string requestId = caller.http.path.substr(RequestsPrefix.size());
     const auto &customer = caller.contract->contract.customer;
-    tools_.keeper->find(requestId, customer, [this, caller, position = *position](const streams::FindResult &result) { onFound(caller, position, result); });
+    tools_.streamRegistry->find(
+        requestId, customer, [this, caller, position = *position](const streams::FindResult &result) { onFound(caller, position, result); });
 }
 
 void ResumeHandler::onFound(const CallerRequest &caller, std::uint64_t position, const streams::FindResult &result)
 {
-    if (result.end == streams::FindEnd::NotNow) {
+    if (result.outcome == streams::FindOutcome::RetryLater) {
         CallerError error{metrics::RefusalReason::NotReady, "The request is being moved. Resume it again.", ComeBackSoon, ErrorOutcome::Unknown};
         refuse(tools_, caller.responder, error);
         return;
     }
-    if (result.end == streams::FindEnd::Unknown) {
+    if (result.outcome == streams::FindOutcome::NotFound) {
         CallerError error{metrics::RefusalReason::UnknownRequest, "There is no such request, or it can't be resumed any more."};
         error.outcome = ErrorOutcome::Unknown;
         refuse(tools_, caller.responder, error);
--- a/src/recovery/internal/recoveringstream.cpp
+++ b/src/recovery/internal/recoveringstream.cpp
@@ -30,13 +30,13 @@
 {
 }
 
-LegId RecoveringStream::addLeg(const membership::Vm &server, const std::string &requestId, RecoveryWay way)
+LegId RecoveringStream::addLeg(const membership::Vm &server, const std::string &requestId, RecoveryMethod method)
 {
     const LegId id = nextLeg_++;
     Leg &leg = legs_[id];
     leg.server = server;
     leg.requestId = requestId;
-    leg.way = way;
+    leg.method = method;
     leg.startedAt = tools_.loop->now();
     return id;
 }
@@ -46,8 +46,8 @@
     machine_.position = request.continueTokens.size();
     promptTokens_ = static_cast<std::int64_t>(request.messagesJson.size()) / BytesPerToken + 1;
     maxTokens_ = request.maxTokens;
-    const RecoveryWay way = request.continueTokens.empty() ? RecoveryWay::Stay : RecoveryWay::Recompute;
-    machine_.current = addLeg(server, request.requestId, way);
+    const RecoveryMethod method = request.continueTokens.empty() ? RecoveryMethod::Stay : RecoveryMethod::Recompute;
+    machine_.current = addLeg(server, request.requestId, method);
     startLeg(machine_.current, request);
 }
 
@@ -55,7 +55,7 @@
 {
     machine_.position = position;
     machine_.resumeTried = true;
-    machine_.current = addLeg(server, requestId, RecoveryWay::Stay);
+    machine_.current = addLeg(server, requestId, RecoveryMethod::Stay);
     Leg &leg = legs_[machine_.current];
     leg.hasToken = position > 0;
     leg.call = tools_.direct->resume(server, requestId, position, connectionHooks(machine_.current));
@@ -66,7 +66,7 @@
     Leg &leg = legs_[id];
     leg.startedAt = tools_.loop->now();
     leg.continuedTokens = static_cast<std::int64_t>(request.continueTokens.size());
-    if (leg.way == RecoveryWay::Recompute) {
+    if (leg.method == RecoveryMethod::Recompute) {
         leg.prefillGuess = promptTokens_ + leg.continuedTokens;
         tools_.estimates->prefillTokensInFlight += leg.prefillGuess;
     }
@@ -131,12 +131,12 @@
     if (!leg.hasToken) {
         tools_.estimates->prefillTokensInFlight -= std::exchange(leg.prefillGuess, 0);
         learnPrefill(*tools_.estimates, leg.uncachedTokens, std::chrono::duration_cast<Duration>(now - leg.startedAt) - betweenTokens_);
-        if (leg.way != RecoveryWay::Stay) {
-            tools_.metrics->add(fmt::format("streams_moved_total{{how=\"{}\"}}", wayName(leg.way)));
+        if (leg.method != RecoveryMethod::Stay) {
+            tools_.metrics->add(fmt::format("streams_moved_total{{how=\"{}\"}}", recoveryMethodName(leg.method)));
         }
     }
     if (std::exchange(resuming_, false)) {
-        tools_.metrics->add(fmt::format("streams_moved_total{{how=\"{}\"}}", wayName(RecoveryWay::Resume)));
+        tools_.metrics->add(fmt::format("streams_moved_total{{how=\"{}\"}}", recoveryMethodName(RecoveryMethod::Resume)));
     }
     leg.hasToken = true;
     lastHeard_ = now;
@@ -151,7 +151,7 @@
         return;
     }
     tools_.metrics->add("tokens_recomputed_total", static_cast<std::uint64_t>(leg.uncachedTokens));
-    if (leg.way == RecoveryWay::Recompute) {
+    if (leg.method == RecoveryMethod::Recompute) {
         learnCachedShare(*tools_.estimates, promptTokens, cachedTokens);
     }
 }
--- a/src/recovery/internal/recoveringstream.h
+++ b/src/recovery/internal/recoveringstream.h
@@ -56,7 +56,7 @@
         std::string requestId;
         http::CallId call = 0;
         std::uint64_t connection = 0; ///< Number of the connection we listen to; 0: none.
-        RecoveryWay way = RecoveryWay::Stay; ///< How it came to be; Stay: the first attempt.
+        RecoveryMethod method = RecoveryMethod::Stay; ///< How it came to be; Stay: the first attempt.
         engine::EngineRequest request; ///< Of a leg that waits to be started.
         std::int64_t continuedTokens = 0;
         std::int64_t prefillGuess = 0; ///< Counted in prefillTokensInFlight until the first token.
@@ -67,7 +67,7 @@
         bool hasToken = false;
         bool hasUsage = false;
     };
-    LegId addLeg(const membership::Vm &server, const std::string &requestId, RecoveryWay way);
+    LegId addLeg(const membership::Vm &server, const std::string &requestId, RecoveryMethod method);
     void startLeg(LegId id, const engine::EngineRequest &request);
     engine::EngineHooks connectionHooks(LegId id);
     Leg *listening(LegId id, std::uint64_t connection);
@@ -87,7 +87,7 @@
     void startSuccessor(LegId id, const std::string &kvFrom);
     void endTransfer(std::int64_t bytes);
     void finish(engine::StreamEnd end);
-    RecoveryQuestion question(Duration left) const;
+    RecoveryInputs inputs(Duration left) const;
     std::int64_t tokensKnown() const;
     StreamTools tools_;
     engine::EngineHooks hooks_;
@@ -100,7 +100,7 @@
     std::uint64_t nextConnection_ = 1;
     std::int64_t promptTokens_ = 0;
     std::int64_t maxTokens_ = 0; ///< 0: unknown.
-    RecoveryWay moveWay_ = RecoveryWay::Recompute;
+    RecoveryMethod moveMethod_ = RecoveryMethod::Recompute;
     int failedMoves_ = 0; ///< Since the last switch.
     Duration betweenTokens_{0};
     TimePoint lastHeard_{};
--- a/src/recovery/internal/recoveringstreammove.cpp
+++ b/src/recovery/internal/recoveringstreammove.cpp
@@ -21,43 +21,43 @@
     if (machine_.ended || isBusy || !hooks_.onMove || !hooks_.soFar || failedMoves_ >= MostFailedMoves) {
         return;
     }
-    const RecoveryPlan plan = planRecovery(question(left));
-    if (plan.way != RecoveryWay::MoveKv && plan.way != RecoveryWay::Recompute) {
+    const RecoveryPlan plan = planRecovery(inputs(left));
+    if (plan.method != RecoveryMethod::MoveKv && plan.method != RecoveryMethod::Recompute) {
         return;
     }
     const RecoveryEstimates &estimates = *tools_.estimates;
     const std::int64_t bytes = expectedKvBytes(estimates, tokensKnown());
-    const bool mayTransfer = mayTransferNow(bytes, estimates.kvBytesInFlight, estimates.transfersInFlight, estimates.isKvRateKnown);
-    if (plan.way == RecoveryWay::MoveKv && !mayTransfer) {
+    const bool mayTransfer = canStartTransfer(bytes, estimates.kvBytesInFlight, estimates.transfersInFlight, estimates.isKvRateKnown);
+    if (plan.method == RecoveryMethod::MoveKv && !mayTransfer) {
         return;
     }
-    moveWay_ = plan.way;
+    moveMethod_ = plan.method;
     apply(onMoveWanted(machine_));
 }
 
-RecoveryQuestion RecoveringStream::question(Duration left) const
+RecoveryInputs RecoveringStream::inputs(Duration left) const
 {
     const RecoveryEstimates &estimates = *tools_.estimates;
     const Leg &leg = legs_.at(machine_.current);
-    RecoveryQuestion question;
-    question.promptTokens = promptTokens_;
-    question.tokensSoFar = static_cast<std::int64_t>(machine_.position);
+    RecoveryInputs inputs;
+    inputs.promptTokens = promptTokens_;
+    inputs.tokensSoFar = static_cast<std::int64_t>(machine_.position);
     if (maxTokens_ > 0 && leg.hasToken) {
-        question.tokensLeft = maxTokens_ - question.tokensSoFar;
+        inputs.tokensLeft = maxTokens_ - inputs.tokensSoFar;
     }
-    question.resumeTried = machine_.resumeTried;
-    question.serverAnswers = !resuming_;
-    question.reclaimLeft = left;
-    question.betweenTokens = betweenTokens_;
-    question.cachedShareAtTarget = estimates.cachedShare;
-    question.prefillTokensPerMs = estimates.prefillTokensPerMs;
-    question.prefillQueueTokens = estimates.prefillTokensInFlight;
-    question.isKvRateKnown = estimates.isKvRateKnown;
-    question.kvBytesPerToken = estimates.kvBytesPerToken;
-    question.kvBytesPerMs = estimates.kvBytesPerMs;
-    question.kvQueueBytes = estimates.kvBytesInFlight;
-    question.canMoveKv = leg.hasToken && expectedKvBytes(estimates, tokensKnown()) <= LargestCache;
-    return question;
+    inputs.resumeTried = machine_.resumeTried;
+    inputs.serverAnswers = !resuming_;
+    inputs.reclaimLeft = left;
+    inputs.betweenTokens = betweenTokens_;
+    inputs.cachedShareAtTarget = estimates.cachedShare;
+    inputs.prefillTokensPerMs = estimates.prefillTokensPerMs;
+    inputs.prefillQueueTokens = estimates.prefillTokensInFlight;
+    inputs.isKvRateKnown = estimates.isKvRateKnown;
+    inputs.kvBytesPerToken = estimates.kvBytesPerToken;
+    inputs.kvBytesPerMs = estimates.kvBytesPerMs;
+    inputs.kvQueueBytes = estimates.kvBytesInFlight;
+    inputs.canMoveKv = leg.hasToken && expectedKvBytes(estimates, tokensKnown()) <= MaxTransferBytes;
+    return inputs;
 }
 
 std::int64_t RecoveringStream::tokensKnown() const
@@ -73,9 +73,9 @@
         apply(onMovePrepared(machine_, NoLeg));
         return;
     }
-    prepared_ = addLeg(next->server, next->request.requestId, moveWay_);
+    prepared_ = addLeg(next->server, next->request.requestId, moveMethod_);
     legs_[prepared_].request = next->request;
-    if (moveWay_ == RecoveryWay::MoveKv) {
+    if (moveMethod_ == RecoveryMethod::MoveKv) {
         exportFrom(machine_.current, prepared_);
     } else {
         startSuccessor(prepared_, {});
@@ -102,7 +102,7 @@
         }
         self->importInto(to, requestId, std::move(*cache), since, beside);
     };
-    tools_.direct->exportKv(leg.server, leg.requestId, static_cast<std::size_t>(LargestCache), TransferTimeout, done);
+    tools_.direct->exportKv(leg.server, leg.requestId, static_cast<std::size_t>(MaxTransferBytes), TransferTimeout, done);
 }
 
 void RecoveringStream::importInto(LegId to, const std::string &fromRequestId, std::string cache, TimePoint since, std::int64_t beside)
@@ -135,7 +135,7 @@
 void RecoveringStream::startSuccessor(LegId id, const std::string &kvFrom)
 {
     Leg &leg = legs_[id];
-    leg.way = kvFrom.empty() ? RecoveryWay::Recompute : RecoveryWay::MoveKv;
+    leg.method = kvFrom.empty() ? RecoveryMethod::Recompute : RecoveryMethod::MoveKv;
     engine::EngineRequest request = std::move(leg.request);
     const auto soFar = hooks_.soFar();
     request.continueTokens.assign(soFar.begin(), soFar.end());
--- a/src/recovery/internal/recoverydecision.cpp
+++ b/src/recovery/internal/recoverydecision.cpp
@@ -27,100 +27,100 @@
     return Duration(static_cast<std::int64_t>(milliseconds * MicrosPerMilli));
 }
 
-double gapPenalty(const RecoveryQuestion &question, Duration gap)
+double gapPenalty(const RecoveryInputs &inputs, Duration gap)
 {
-    return GapWeight * std::max(0.0, toMs(gap - question.gapTarget));
+    return GapWeight * std::max(0.0, toMs(gap - inputs.gapTarget));
 }
 
-RecoveryCost costOfStay(const RecoveryQuestion &question)
+RecoveryCost costOfStay(const RecoveryInputs &inputs)
 {
     RecoveryCost cost;
-    if (question.connectionBroke || !question.serverAnswers) {
+    if (inputs.connectionBroke || !inputs.serverAnswers) {
         return cost;
     }
-    if (!question.reclaimLeft) {
+    if (!inputs.reclaimLeft) {
         cost.isPossible = true;
         return cost;
     }
-    if (!question.tokensLeft) {
+    if (!inputs.tokensLeft) {
         return cost;
     }
-    cost.takes = fromMs(static_cast<double>(*question.tokensLeft) * toMs(question.betweenTokens) * FinishMargin);
-    cost.isPossible = cost.takes <= *question.reclaimLeft;
+    cost.takes = fromMs(static_cast<double>(*inputs.tokensLeft) * toMs(inputs.betweenTokens) * FinishMargin);
+    cost.isPossible = cost.takes <= *inputs.reclaimLeft;
     return cost;
 }
 
-RecoveryCost costOfResume(const RecoveryQuestion &question)
+RecoveryCost costOfResume(const RecoveryInputs &inputs)
 {
     RecoveryCost cost;
-    cost.isPossible = question.connectionBroke && question.serverAnswers && !question.resumeTried;
+    cost.isPossible = inputs.connectionBroke && inputs.serverAnswers && !inputs.resumeTried;
     cost.gap = ReconnectGap;
     cost.score = toMs(ReconnectGap);
     return cost;
 }
 
-RecoveryCost costOfMoveKv(const RecoveryQuestion &question)
+RecoveryCost costOfMoveKv(const RecoveryInputs &inputs)
 {
     RecoveryCost cost;
-    if (question.connectionBroke || !question.serverAnswers || !question.canMoveKv) {
+    if (inputs.connectionBroke || !inputs.serverAnswers || !inputs.canMoveKv) {
         return cost;
     }
-    if (!question.isKvRateKnown) {
+    if (!inputs.isKvRateKnown) {
         // A first transfer measures the rate.
         cost.takes = FirstTransfer;
-        cost.isPossible = !question.reclaimLeft || cost.takes <= *question.reclaimLeft;
+        cost.isPossible = !inputs.reclaimLeft || cost.takes <= *inputs.reclaimLeft;
         return cost;
     }
-    const double bytes = static_cast<double>(question.promptTokens + question.tokensSoFar) * question.kvBytesPerToken;
-    const double ownMs = bytes / question.kvBytesPerMs;
-    const double queueMs = static_cast<double>(question.kvQueueBytes) / question.kvBytesPerMs;
+    const double bytes = static_cast<double>(inputs.promptTokens + inputs.tokensSoFar) * inputs.kvBytesPerToken;
+    const double ownMs = bytes / inputs.kvBytesPerMs;
+    const double queueMs = static_cast<double>(inputs.kvQueueBytes) / inputs.kvBytesPerMs;
     cost.takes = fromMs(ownMs + queueMs) + TransferMargin;
-    cost.isPossible = !question.reclaimLeft || cost.takes <= *question.reclaimLeft;
+    cost.isPossible = !inputs.reclaimLeft || cost.takes <= *inputs.reclaimLeft;
     // Tokens made while the cache is on its way are not in it.
-    const double madeMeanwhile = question.betweenTokens.count() > 0 ? (ownMs + queueMs) / toMs(question.betweenTokens) : 0;
+    const double madeMeanwhile = inputs.betweenTokens.count() > 0 ? (ownMs + queueMs) / toMs(inputs.betweenTokens) : 0;
     cost.recomputedTokens = static_cast<std::int64_t>(madeMeanwhile);
-    cost.gap = fromMs(madeMeanwhile / question.prefillTokensPerMs) + ReconnectGap;
-    cost.score = ownMs * TransferShare + madeMeanwhile / question.prefillTokensPerMs + gapPenalty(question, cost.gap);
+    cost.gap = fromMs(madeMeanwhile / inputs.prefillTokensPerMs) + ReconnectGap;
+    cost.score = ownMs * TransferShare + madeMeanwhile / inputs.prefillTokensPerMs + gapPenalty(inputs, cost.gap);
     return cost;
 }
 
-RecoveryCost costOfRecompute(const RecoveryQuestion &question)
+RecoveryCost costOfRecompute(const RecoveryInputs &inputs)
 {
     RecoveryCost cost;
     cost.isPossible = true;
-    const double uncached = static_cast<double>(question.promptTokens) * (1.0 - std::clamp(question.cachedShareAtTarget, 0.0, 1.0));
-    cost.recomputedTokens = static_cast<std::int64_t>(uncached) + question.tokensSoFar;
-    const double ownMs = static_cast<double>(cost.recomputedTokens) / question.prefillTokensPerMs;
-    const double queueMs = static_cast<double>(question.prefillQueueTokens) / question.prefillTokensPerMs;
+    const double uncached = static_cast<double>(inputs.promptTokens) * (1.0 - std::clamp(inputs.cachedShareAtTarget, 0.0, 1.0));
+    cost.recomputedTokens = static_cast<std::int64_t>(uncached) + inputs.tokensSoFar;
+    const double ownMs = static_cast<double>(cost.recomputedTokens) / inputs.prefillTokensPerMs;
+    const double queueMs = static_cast<double>(inputs.prefillQueueTokens) / inputs.prefillTokensPerMs;
     cost.gap = fromMs(ownMs + queueMs) + ReconnectGap;
     cost.takes = cost.gap;
-    cost.score = ownMs + gapPenalty(question, cost.gap);
+    cost.score = ownMs + gapPenalty(inputs, cost.gap);
     return cost;
 }
 
 } // namespace
 
-RecoveryPlan planRecovery(const RecoveryQuestion &question)
+RecoveryPlan planRecovery(const RecoveryInputs &inputs)
 {
     RecoveryPlan plan;
-    plan.costs = {costOfStay(question), costOfResume(question), costOfMoveKv(question), costOfRecompute(question)};
+    plan.costs = {costOfStay(inputs), costOfResume(inputs), costOfMoveKv(inputs), costOfRecompute(inputs)};
     double best = 0;
     bool found = false;
-    for (std::size_t i = 0; i < RecoveryWays; i++) {
+    for (std::size_t i = 0; i < RecoveryMethodCount; i++) {
         const RecoveryCost &cost = plan.costs[i];
         if (cost.isPossible && (!found || cost.score < best)) {
             found = true;
             best = cost.score;
-            plan.way = static_cast<RecoveryWay>(i);
+            plan.method = static_cast<RecoveryMethod>(i);
         }
     }
     return plan;
 }
 
-bool mayTransferNow(std::int64_t bytes, std::int64_t bytesInFlight, std::size_t transfersInFlight, bool isKvRateKnown)
+bool canStartTransfer(std::int64_t bytes, std::int64_t bytesInFlight, std::size_t transfersInFlight, bool isKvRateKnown)
 {
-    const std::size_t most = isKvRateKnown ? MostTransfers : 1;
-    return transfersInFlight < most && bytes + bytesInFlight <= LargestCache;
+    const std::size_t max = isKvRateKnown ? MaxTransfers : 1;
+    return transfersInFlight < max && bytes + bytesInFlight <= MaxTransferBytes;
 }
 
 Duration stallLimit(Duration betweenTokens, bool hasToken)
@@ -131,10 +131,10 @@
     return std::min(LongestStall, StalledIntervals * std::max(betweenTokens, BetweenTokensTarget));
 }
 
-std::string_view wayName(RecoveryWay way)
+std::string_view recoveryMethodName(RecoveryMethod method)
 {
-    constexpr std::array<std::string_view, RecoveryWays> Names{"stay", "resume", "kv", "recompute"};
-    return Names[static_cast<std::size_t>(way)];
+    constexpr std::array<std::string_view, RecoveryMethodCount> Names{"stay", "resume", "kv", "recompute"};
+    return Names[static_cast<std::size_t>(method)];
 }
 
 } // namespace cardamomlift::recovery
--- a/src/recovery/recoverytypes.h
+++ b/src/recovery/recoverytypes.h
@@ -10,16 +10,16 @@
 namespace cardamomlift::recovery {
 
 /// How a stream whose server leaves or fails goes on. Earlier ones are preferred at equal cost.
-enum class RecoveryWay {
+enum class RecoveryMethod {
     Stay, ///< Go on reading where it runs.
     Resume, ///< Join the same stream of the same server by a new connection.
     MoveKv, ///< Carry its KV cache to another server and continue there.
     Recompute, ///< Continue at another server, which computes prompt and output so far again.
 };
-inline constexpr std::size_t RecoveryWays = 4;
+inline constexpr std::size_t RecoveryMethodCount = 4;
 
 /// What the choice hangs on. Rates are those measured by this VM.
-struct RecoveryQuestion {
+struct RecoveryInputs {
     std::int64_t promptTokens = 0;
     std::int64_t tokensSoFar = 0;
     std::optional<std::int64_t> tokensLeft; ///< At most; unknown for a stream that another VM started.
@@ -39,7 +39,7 @@
     std::int64_t kvQueueBytes = 0; ///< In transfer now, through this VM.
 };
 
-/// What one way costs.
+/// What one method costs.
 struct RecoveryCost {
     bool isPossible = false;
     Duration gap{0}; ///< Time without a token beyond the usual one.
@@ -48,10 +48,10 @@
     double score = 0; ///< Milliseconds of accelerator time, or its worth; the lowest is taken.
 };
 
-/// The chosen way, and what each would have cost.
+/// The chosen method, and what each would have cost.
 struct RecoveryPlan {
-    RecoveryWay way = RecoveryWay::Recompute;
-    std::array<RecoveryCost, RecoveryWays> costs; ///< By RecoveryWay.
+    RecoveryMethod method = RecoveryMethod::Recompute;
+    std::array<RecoveryCost, RecoveryMethodCount> costs; ///< By RecoveryMethod.
 };
 
 } // namespace cardamomlift::recovery
--- a/src/recovery/tests/recoverydecision_test.cpp
+++ b/src/recovery/tests/recoverydecision_test.cpp
@@ -10,89 +10,89 @@
 namespace {
 
 /// A stream in the middle of its answer whose server is leaving.
-RecoveryQuestion leaving()
+RecoveryInputs leaving()
 {
-    RecoveryQuestion question;
-    question.promptTokens = 2000;
-    question.tokensSoFar = 200;
-    question.tokensLeft = 800;
-    question.reclaimLeft = seconds(2);
-    question.betweenTokens = milliseconds(30);
-    question.isKvRateKnown = true;
-    question.kvBytesPerToken = 4096;
-    question.kvBytesPerMs = 100000;
-    return question;
+    RecoveryInputs inputs;
+    inputs.promptTokens = 2000;
+    inputs.tokensSoFar = 200;
+    inputs.tokensLeft = 800;
+    inputs.reclaimLeft = seconds(2);
+    inputs.betweenTokens = milliseconds(30);
+    inputs.isKvRateKnown = true;
+    inputs.kvBytesPerToken = 4096;
+    inputs.kvBytesPerMs = 100000;
+    return inputs;
 }
 
 } // namespace
 
 TEST(RecoveryDecision, StaysWhenTheAnswerEndsInTime)
 {
-    RecoveryQuestion question = leaving();
-    question.tokensLeft = 50;
-    EXPECT_EQ(planRecovery(question).way, RecoveryWay::Stay);
-    question.tokensLeft = 55; // 55 * 30 ms * 1.25 is past 2 s.
-    EXPECT_NE(planRecovery(question).way, RecoveryWay::Stay);
-    question.tokensLeft.reset();
-    EXPECT_NE(planRecovery(question).way, RecoveryWay::Stay);
+    RecoveryInputs inputs = leaving();
+    inputs.tokensLeft = 50;
+    EXPECT_EQ(planRecovery(inputs).method, RecoveryMethod::Stay);
+    inputs.tokensLeft = 55; // 55 * 30 ms * 1.25 is past 2 s.
+    EXPECT_NE(planRecovery(inputs).method, RecoveryMethod::Stay);
+    inputs.tokensLeft.reset();
+    EXPECT_NE(planRecovery(inputs).method, RecoveryMethod::Stay);
 }
 
 TEST(RecoveryDecision, JoinsAgainOnceWhenOnlyTheConnectionBroke)
 {
-    RecoveryQuestion question = leaving();
-    question.reclaimLeft.reset();
-    question.connectionBroke = true;
-    EXPECT_EQ(planRecovery(question).way, RecoveryWay::Resume);
-    question.resumeTried = true;
-    EXPECT_EQ(planRecovery(question).way, RecoveryWay::Recompute);
-    question.resumeTried = false;
-    question.serverAnswers = false;
-    EXPECT_EQ(planRecovery(question).way, RecoveryWay::Recompute);
+    RecoveryInputs inputs = leaving();
+    inputs.reclaimLeft.reset();
+    inputs.connectionBroke = true;
+    EXPECT_EQ(planRecovery(inputs).method, RecoveryMethod::Resume);
+    inputs.resumeTried = true;
+    EXPECT_EQ(planRecovery(inputs).method, RecoveryMethod::Recompute);
+    inputs.resumeTried = false;
+    inputs.serverAnswers = false;
+    EXPECT_EQ(planRecovery(inputs).method, RecoveryMethod::Recompute);
 }
 
 TEST(RecoveryDecision, MovesTheCacheWhenThatCostsLess)
 {
     const RecoveryPlan plan = planRecovery(leaving());
-    EXPECT_EQ(plan.way, RecoveryWay::MoveKv);
+    EXPECT_EQ(plan.method, RecoveryMethod::MoveKv);
     // 2200 tokens * 4096 bytes take 90 ms, in which 3 tokens are made.
-    EXPECT_EQ(plan.costs[static_cast<std::size_t>(RecoveryWay::MoveKv)].recomputedTokens, 3);
-    EXPECT_EQ(plan.costs[static_cast<std::size_t>(RecoveryWay::Recompute)].recomputedTokens, 2200);
+    EXPECT_EQ(plan.costs[static_cast<std::size_t>(RecoveryMethod::MoveKv)].recomputedTokens, 3);
+    EXPECT_EQ(plan.costs[static_cast<std::size_t>(RecoveryMethod::Recompute)].recomputedTokens, 2200);
 }
 
 TEST(RecoveryDecision, RecomputesWhenTheCacheIsTooLargeOrTooLate)
 {
-    RecoveryQuestion question = leaving();
-    question.reclaimLeft = milliseconds(150);
-    EXPECT_EQ(planRecovery(question).way, RecoveryWay::Recompute);
-    question = leaving();
-    question.canMoveKv = false;
-    EXPECT_EQ(planRecovery(question).way, RecoveryWay::Recompute);
-    question = leaving();
-    question.kvQueueBytes = 300'000'000;
-    EXPECT_EQ(planRecovery(question).way, RecoveryWay::Recompute);
+    RecoveryInputs inputs = leaving();
+    inputs.reclaimLeft = milliseconds(150);
+    EXPECT_EQ(planRecovery(inputs).method, RecoveryMethod::Recompute);
+    inputs = leaving();
+    inputs.canMoveKv = false;
+    EXPECT_EQ(planRecovery(inputs).method, RecoveryMethod::Recompute);
+    inputs = leaving();
+    inputs.kvQueueBytes = 300'000'000;
+    EXPECT_EQ(planRecovery(inputs).method, RecoveryMethod::Recompute);
 }
 
 TEST(RecoveryDecision, RecomputesShortPromptsThatAreCachedAtTheTarget)
 {
-    RecoveryQuestion question = leaving();
-    question.tokensSoFar = 4;
-    question.cachedShareAtTarget = 1;
-    question.kvBytesPerMs = 5000;
-    EXPECT_EQ(planRecovery(question).way, RecoveryWay::Recompute);
+    RecoveryInputs inputs = leaving();
+    inputs.tokensSoFar = 4;
+    inputs.cachedShareAtTarget = 1;
+    inputs.kvBytesPerMs = 5000;
+    EXPECT_EQ(planRecovery(inputs).method, RecoveryMethod::Recompute);
 }
 
 TEST(RecoveryDecision, MeasuresTheTransferOneAtATime)
 {
-    RecoveryQuestion question = leaving();
-    question.isKvRateKnown = false;
-    EXPECT_EQ(planRecovery(question).way, RecoveryWay::MoveKv);
-    question.reclaimLeft = milliseconds(400);
-    EXPECT_EQ(planRecovery(question).way, RecoveryWay::Recompute);
-    EXPECT_TRUE(mayTransferNow(0, 0, 0, false));
-    EXPECT_FALSE(mayTransferNow(0, 1, 1, false));
-    EXPECT_TRUE(mayTransferNow(1, 1, 1, true));
-    EXPECT_FALSE(mayTransferNow(1, 1, MostTransfers, true));
-    EXPECT_FALSE(mayTransferNow(LargestCache, 1, 1, true));
+    RecoveryInputs inputs = leaving();
+    inputs.isKvRateKnown = false;
+    EXPECT_EQ(planRecovery(inputs).method, RecoveryMethod::MoveKv);
+    inputs.reclaimLeft = milliseconds(400);
+    EXPECT_EQ(planRecovery(inputs).method, RecoveryMethod::Recompute);
+    EXPECT_TRUE(canStartTransfer(0, 0, 0, false));
+    EXPECT_FALSE(canStartTransfer(0, 1, 1, false));
+    EXPECT_TRUE(canStartTransfer(1, 1, 1, true));
+    EXPECT_FALSE(canStartTransfer(1, 1, MaxTransfers, true));
+    EXPECT_FALSE(canStartTransfer(MaxTransferBytes, 1, 1, true));
 }
 
 TEST(RecoveryDecision, SilenceIsJudgedByTheStreamsOwnPace)
--- a/src/streams/copysender.h
+++ b/src/streams/copysender.h
@@ -36,7 +36,7 @@
     /// From now on calls say that this VM is leaving.
     void setLeaving();
     /// Calls not yet answered, and those waiting to be sent.
-    std::size_t open() const;
+    std::size_t openCount() const;
 
 private:
     struct Batch;
--- a/src/streams/internal/copysender.cpp
+++ b/src/streams/internal/copysender.cpp
@@ -68,7 +68,7 @@
     isLeaving_ = true;
 }
 
-std::size_t CopySender::open() const
+std::size_t CopySender::openCount() const
 {
     return underWay_ + waiting_.size();
 }
--- a/src/streams/internal/streamdecision.cpp
+++ b/src/streams/internal/streamdecision.cpp
@@ -50,7 +50,7 @@
     return fmt::format("{}{}{}{}{}{}{}{}", IdPrefix, unique, Separator, parts.home, Separator, parts.homeZone, Separator, parts.holder);
 }
 
-std::optional<RequestIdParts> readRequestId(std::string_view requestId)
+std::optional<RequestIdParts> parseRequestId(std::string_view requestId)
 {
     const auto parts = split(requestId);
     if (!requestId.starts_with(IdPrefix) || parts.size() != IdParts || parts[1].empty()) {
--- a/src/streams/internal/streamkeeper.cpp
+++ b/src/streams/internal/streamregistry.cpp
@@ -1,7 +1,7 @@
-#include "streams/streamkeeper.h"
+#include "streams/streamregistry.h"
 
 #include "kernel/log.h"
-#include "streams/internal/keeperentry.h"
+#include "streams/internal/streamregistryentry.h"
 #include "streams/streamcodec.h"
 #include "text/digest.h"
 
@@ -21,30 +21,30 @@
 
 } // namespace
 
-std::shared_ptr<StreamKeeper> StreamKeeper::create(KeeperTools tools)
+std::shared_ptr<StreamRegistry> StreamRegistry::create(StreamRegistryTools tools)
 {
-    std::shared_ptr<StreamKeeper> keeper(new StreamKeeper);
-    keeper->self_ = tools.session.members->self();
-    keeper->sender_ = CopySender::create(*tools.session.loop, tools.transport, tools.session.metrics);
-    keeper->tools_ = std::move(tools);
-    keeper->handleTopics();
-    const std::weak_ptr<StreamKeeper> weak = keeper;
-    keeper->tools_.session.members->onChange([weak] {
+    std::shared_ptr<StreamRegistry> registry(new StreamRegistry);
+    registry->self_ = tools.session.members->self();
+    registry->sender_ = CopySender::create(*tools.session.loop, tools.transport, tools.session.metrics);
+    registry->tools_ = std::move(tools);
+    registry->handleTopics();
+    const std::weak_ptr<StreamRegistry> weak = registry;
+    registry->tools_.session.members->onChange([weak] {
         if (const auto self = weak.lock()) {
             self->onMembersChange();
         }
     });
-    keeper->tools_.session.loop->every(SweepPeriod, [weak] {
+    registry->tools_.session.loop->every(SweepPeriod, [weak] {
         if (const auto self = weak.lock()) {
             self->sweep();
         }
     });
-    return keeper;
+    return registry;
 }
 
-void StreamKeeper::handleTopics()
+void StreamRegistry::handleTopics()
 {
-    const std::weak_ptr<StreamKeeper> weak = weak_from_this();
+    const std::weak_ptr<StreamRegistry> weak = weak_from_this();
     tools_.transport->handle("streams.copy", [weak](const std::string &from, const std::string &payload, const peers::Reply &reply) {
         const auto self = weak.lock();
         reply(self ? Result<std::string>(self->onCopies(from, payload)) : failure(ErrorKind::Unavailable, "stopping"));
@@ -55,14 +55,14 @@
     });
 }
 
-std::string StreamKeeper::newRequestId()
+std::string StreamRegistry::newRequestId()
 {
     const auto ranked = holders({self_, tools_.zone, {}});
     const std::string unique = fmt::format("{}{}", text::randomHex(IdBytes), nextNumber_++);
     return makeRequestId(unique, {self_, tools_.zone, ranked.empty() ? std::string() : ranked.front()});
 }
 
-std::vector<std::string> StreamKeeper::holders(const RequestIdParts &id) const
+std::vector<std::string> StreamRegistry::holders(const RequestIdParts &id) const
 {
     std::vector<membership::Vm> entries;
     for (const auto &[instance, vm] : tools_.session.members->all()) {
@@ -81,7 +81,7 @@
     return ranked;
 }
 
-StreamKeeper::EntryPtr StreamKeeper::add(StreamState state)
+StreamRegistry::EntryPtr StreamRegistry::add(StreamState state)
 {
     removeEntry(state.requestId);
     auto entry = std::make_shared<Entry>();
@@ -101,7 +101,7 @@
     return entry;
 }
 
-std::shared_ptr<StreamSession> StreamKeeper::open(StreamState state, std::function<void()> onAccepted)
+std::shared_ptr<StreamSession> StreamRegistry::open(StreamState state, std::function<void()> onAccepted)
 {
     const EntryPtr entry = add(std::move(state));
     // NOTE Before the copy, which then names the first attempt.
@@ -120,16 +120,16 @@
     return entry->session;
 }
 
-void StreamKeeper::placeCopy(const EntryPtr &entry, std::function<void(bool stored)> done)
+void StreamRegistry::placeCopy(const EntryPtr &entry, std::function<void(bool stored)> done)
 {
-    auto targets = holders(readRequestId(entry->requestId).value_or(RequestIdParts()));
+    auto targets = holders(parseRequestId(entry->requestId).value_or(RequestIdParts()));
     std::erase(targets, entry->owner);
     targets.resize(std::min(targets.size(), MostPlaces));
     entry->copiedAt = tools_.session.loop->now();
     tryPlace(entry, std::move(targets), std::move(done));
 }
 
-void StreamKeeper::tryPlace(const EntryPtr &entry, std::vector<std::string> targets, std::function<void(bool stored)> done)
+void StreamRegistry::tryPlace(const EntryPtr &entry, std::vector<std::string> targets, std::function<void(bool stored)> done)
 {
     auto &members = *tools_.session.members;
     const membership::Vm *vm = nullptr;
@@ -154,7 +154,7 @@
         }
         if (result == CopyResult::Superseded) {
             if (entry->session) {
-                entry->session->leave();
+                entry->session->handOver();
             }
             done(true);
             return;
@@ -167,7 +167,7 @@
     });
 }
 
-std::string StreamKeeper::onCopies(const std::string &from, const std::string &payload)
+std::string StreamRegistry::onCopies(const std::string &from, const std::string &payload)
 {
     wire::Copies message;
     wire::CopiesReply reply;
@@ -188,7 +188,7 @@
     return reply.SerializeAsString();
 }
 
-void StreamKeeper::storeCopy(const wire::Copy &copy, wire::CopiesReply &reply)
+void StreamRegistry::storeCopy(const wire::Copy &copy, wire::CopiesReply &reply)
 {
     const std::string &requestId = copy.state().request_id();
     const auto found = entries_.find(requestId);
@@ -205,7 +205,7 @@
     }
     if (isOwner) {
         // Another VM took it over, though this one still drives it: the newer owner reads the engine's stream now.
-        found->second->session->leave();
+        found->second->session->handOver();
         found->second->places.clear();
     }
     removeEntry(requestId);
@@ -224,7 +224,7 @@
     }
 }
 
-void StreamKeeper::dropCopy(const wire::Drop &drop)
+void StreamRegistry::dropCopy(const wire::Drop &drop)
 {
     const auto found = entries_.find(drop.request_id());
     if (found == entries_.end() || found->second->session || found->second->copy.generation > drop.generation()) {
@@ -233,7 +233,7 @@
     removeEntry(drop.request_id());
 }
 
-std::string StreamKeeper::onTake(const std::string &from, const std::string &payload)
+std::string StreamRegistry::onTake(const std::string &from, const std::string &payload)
 {
     wire::Take question;
     wire::TakeReply reply;
@@ -257,13 +257,13 @@
     return reply.SerializeAsString();
 }
 
-StreamState StreamKeeper::give(const EntryPtr &entry, const std::string &asker)
+StreamState StreamRegistry::give(const EntryPtr &entry, const std::string &asker)
 {
     const Holding left = afterGive(entry->holding(), asker);
     if (entry->session) {
         const auto session = std::exchange(entry->session, nullptr);
         entry->copy = session->state();
-        session->leave();
+        session->handOver();
     }
     entry->copy.generation = left.generation;
     entry->owner = left.owner;
@@ -272,7 +272,7 @@
     return entry->copy;
 }
 
-void StreamKeeper::readerLost(const std::string &requestId)
+void StreamRegistry::onReaderDisconnected(const std::string &requestId)
 {
     const auto found = entries_.find(requestId);
     if (found == entries_.end() || !found->second->session) {
@@ -287,18 +287,18 @@
 }
 
 // Nobody reads a detached session here any more, so the copy's holder may have it.
-void StreamKeeper::sendOn(const EntryPtr &entry)
+void StreamRegistry::sendOn(const EntryPtr &entry)
 {
     sendingOn_++;
     placeCopy(entry, [this, entry](bool stored) {
         if (stored && entry->session && entry->session->isDetached()) {
-            entry->session->leave();
+            entry->session->handOver();
         }
         onSentOn(stored);
     });
 }
 
-void StreamKeeper::onSentOn(bool stored)
+void StreamRegistry::onSentOn(bool stored)
 {
     sendingOn_--;
     sentOn_ += stored ? 1 : 0;
@@ -307,7 +307,7 @@
     }
 }
 
-void StreamKeeper::handOver()
+void StreamRegistry::startHandover()
 {
     isLeaving_ = true;
     sender_->setLeaving();
@@ -324,7 +324,7 @@
     partLogger("streams")->info("Handing over. requests={}", count);
 }
 
-void StreamKeeper::handOverAndLeave()
+void StreamRegistry::finishHandover()
 {
     for (const auto &item : entries_) {
         const EntryPtr entry = item.second;
@@ -338,23 +338,23 @@
                 partLogger("streams")->error("A request is cut: no VM takes it. request={}", entry->requestId);
             }
             if (entry->session) {
-                entry->session->leave();
+                entry->session->handOver();
             }
             onSentOn(stored);
         });
     }
 }
 
-std::size_t StreamKeeper::open() const
+std::size_t StreamRegistry::openCount() const
 {
-    std::size_t count = sender_->open();
+    std::size_t count = sender_->openCount();
     for (const auto &[id, entry] : entries_) {
         count += entry->session && !entry->session->hasEnded() ? 1 : 0;
     }
     return count;
 }
 
-std::size_t StreamKeeper::copies() const
+std::size_t StreamRegistry::copyCount() const
 {
     return static_cast<std::size_t>(std::count_if(entries_.begin(), entries_.end(), [](const auto &item) { return !item.second->session; }));
 }
--- a/src/streams/internal/keeperentry.h
+++ b/src/streams/internal/streamregistryentry.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "streams/streamkeeper.h"
+#include "streams/streamregistry.h"
 
 #include <algorithm>
 #include <optional>
@@ -8,7 +8,7 @@
 namespace cardamomlift::streams {
 
 /// What this VM has of one request: a session if it is the owner, else a copy.
-struct StreamKeeper::Entry {
+struct StreamRegistry::Entry {
     std::string requestId;
     std::string customer;
     std::shared_ptr<StreamSession> session;
@@ -41,7 +41,7 @@
 };
 
 /// One search for a request, over several VMs.
-struct StreamKeeper::Search {
+struct StreamRegistry::Search {
     std::string requestId;
     std::string customer;
     TakeSearch search;
--- a/src/streams/internal/streamkeeperretention.cpp
+++ b/src/streams/internal/streamregistryretention.cpp
@@ -1,8 +1,8 @@
-// How long a StreamKeeper keeps its entries, and when it places a copy anew.
+// How long a StreamRegistry keeps its entries, and when it places a copy anew.
 
-#include "streams/streamkeeper.h"
+#include "streams/streamregistry.h"
 
-#include "streams/internal/keeperentry.h"
+#include "streams/internal/streamregistryentry.h"
 
 #include <algorithm>
 #include <utility>
@@ -21,7 +21,7 @@
 
 } // namespace
 
-void StreamKeeper::onMembersChange()
+void StreamRegistry::onMembersChange()
 {
     if (isLeaving_) {
         return;
@@ -43,7 +43,7 @@
     }
 }
 
-void StreamKeeper::sweep()
+void StreamRegistry::sweep()
 {
     const TimePoint now = tools_.session.loop->now();
     std::vector<std::string> over;
@@ -66,7 +66,7 @@
 }
 
 // Under a high rate answers that ended are kept for a shorter time.
-void StreamKeeper::boundEnded()
+void StreamRegistry::boundEnded()
 {
     std::vector<std::pair<TimePoint, std::string>> ended;
     for (const auto &[id, entry] : entries_) {
@@ -84,7 +84,7 @@
     }
 }
 
-bool StreamKeeper::isOver(Entry &entry, TimePoint now)
+bool StreamRegistry::isOver(Entry &entry, TimePoint now)
 {
     if (entry.session && entry.session->hasEnded()) {
         entry.endedAt = entry.endedAt.value_or(now);
@@ -101,7 +101,7 @@
     return now - *entry.orphanAt > KeepOrphan;
 }
 
-void StreamKeeper::removeEntry(const std::string &requestId)
+void StreamRegistry::removeEntry(const std::string &requestId)
 {
     const auto found = entries_.find(requestId);
     if (found == entries_.end()) {
@@ -124,7 +124,7 @@
     }
 }
 
-void StreamKeeper::evictCopies()
+void StreamRegistry::evictCopies()
 {
     while (copyBytes_ > tools_.mostCopyBytes) {
         const auto oldest = std::min_element(entries_.begin(), entries_.end(), [](const auto &a, const auto &b) {
--- a/src/streams/internal/streamkeepersearch.cpp
+++ b/src/streams/internal/streamregistrysearch.cpp
@@ -1,6 +1,6 @@
-// The part of StreamKeeper that finds a request at other VMs and takes it over.
+// The part of StreamRegistry that finds a request at other VMs and takes it over.
 
-#include "streams/internal/keeperentry.h"
+#include "streams/internal/streamregistryentry.h"
 #include "streams/streamcodec.h"
 
 namespace cardamomlift::streams {
@@ -12,17 +12,17 @@
 
 } // namespace
 
-void StreamKeeper::find(const std::string &requestId, const std::string &customer, FoundHandler handler)
+void StreamRegistry::find(const std::string &requestId, const std::string &customer, FoundHandler handler)
 {
-    const auto id = readRequestId(requestId);
+    const auto id = parseRequestId(requestId);
     const auto found = entries_.find(requestId);
     const bool isHere = found != entries_.end();
     if (!id || (isHere && found->second->customer != customer)) {
-        handler({FindEnd::Unknown, nullptr});
+        handler({FindOutcome::NotFound, nullptr});
         return;
     }
     if (isHere && found->second->session) {
-        handler({FindEnd::Found, found->second->session});
+        handler({FindOutcome::Found, found->second->session});
         return;
     }
     auto &waiting = searches_[requestId];
@@ -41,11 +41,11 @@
     ask(std::make_shared<Search>(Search{requestId, customer, TakeSearch(self_, std::move(candidates)), false}));
 }
 
-void StreamKeeper::ask(const SearchPtr &search)
+void StreamRegistry::ask(const SearchPtr &search)
 {
     const auto instance = search->search.next();
     if (!instance) {
-        finishSearch(search, {search->someDidNotAnswer ? FindEnd::NotNow : FindEnd::Unknown, nullptr});
+        finishSearch(search, {search->someDidNotAnswer ? FindOutcome::RetryLater : FindOutcome::NotFound, nullptr});
     } else if (*instance == self_) {
         takeOwnCopy(search);
     } else {
@@ -53,7 +53,7 @@
     }
 }
 
-void StreamKeeper::askPeer(const SearchPtr &search, const std::string &instance)
+void StreamRegistry::askPeer(const SearchPtr &search, const std::string &instance)
 {
     const membership::Vm *vm = tools_.session.members->find(instance);
     if (!vm) {
@@ -83,18 +83,18 @@
         });
 }
 
-void StreamKeeper::onTakeReply(const SearchPtr &search, const std::string &instance, const wire::TakeReply &reply)
+void StreamRegistry::onTakeReply(const SearchPtr &search, const std::string &instance, const wire::TakeReply &reply)
 {
     switch (reply.verdict()) {
     case wire::TakeReply::GIVEN:
-        finishSearch(search, {FindEnd::Found, adopt(readState(reply.state()), instance)});
+        finishSearch(search, {FindOutcome::Found, adopt(readState(reply.state()), instance)});
         return;
     case wire::TakeReply::ASK_OTHER:
         search->search.isRedirected(instance, reply.other());
         ask(search);
         return;
     case wire::TakeReply::BUSY:
-        finishSearch(search, {FindEnd::NotNow, nullptr});
+        finishSearch(search, {FindOutcome::RetryLater, nullptr});
         return;
     default:
         search->search.hasNothing(instance);
@@ -102,7 +102,7 @@
     }
 }
 
-void StreamKeeper::takeOwnCopy(const SearchPtr &search)
+void StreamRegistry::takeOwnCopy(const SearchPtr &search)
 {
     const auto found = entries_.find(search->requestId);
     if (found == entries_.end()) {
@@ -110,15 +110,15 @@
         return;
     }
     if (found->second->session) {
-        finishSearch(search, {FindEnd::Found, found->second->session});
+        finishSearch(search, {FindOutcome::Found, found->second->session});
         return;
     }
     StreamState state = found->second->copy;
     state.generation = afterGive(found->second->holding(), self_).generation;
-    finishSearch(search, {FindEnd::Found, adopt(std::move(state), {})});
+    finishSearch(search, {FindOutcome::Found, adopt(std::move(state), {})});
 }
 
-std::shared_ptr<StreamSession> StreamKeeper::adopt(StreamState state, const std::string &previousOwner)
+std::shared_ptr<StreamSession> StreamRegistry::adopt(StreamState state, const std::string &previousOwner)
 {
     tools_.session.metrics->add("requests_taken_total");
     const EntryPtr entry = add(std::move(state));
@@ -134,9 +134,9 @@
 }
 
 // The VM that accepted the request may still drive it, if only our question to it was lost.
-void StreamKeeper::notifyHome(const EntryPtr &entry, const std::string &previousOwner)
+void StreamRegistry::notifyHome(const EntryPtr &entry, const std::string &previousOwner)
 {
-    const std::string home = readRequestId(entry->requestId).value_or(RequestIdParts()).home;
+    const std::string home = parseRequestId(entry->requestId).value_or(RequestIdParts()).home;
     const membership::Vm *vm = tools_.session.members->find(home);
     if (!vm || home == previousOwner || home == self_) {
         return;
@@ -144,7 +144,7 @@
     sender_->copy(membership::peerAddress(*vm), entry->state(), self_, [](CopyResult) {});
 }
 
-void StreamKeeper::finishSearch(const SearchPtr &search, const FindResult &result)
+void StreamRegistry::finishSearch(const SearchPtr &search, const FindResult &result)
 {
     const auto node = searches_.extract(search->requestId);
     for (const FoundHandler &handler : node.mapped()) {
--- a/src/streams/internal/streamsession.cpp
+++ b/src/streams/internal/streamsession.cpp
@@ -68,9 +68,9 @@
     record.fingerprint = suspects::fingerprintOf(state_.customer, state_.model, state_.messagesJson);
     record.position = state_.tokens.size();
     record.accepted = !state_.tokens.empty();
-    record.deadline = state_.firstTokenBy;
+    record.deadline = state_.firstTokenDeadline;
     for (const Attempt &attempt : state_.attempts) {
-        if (!attempt.isForgotten) {
+        if (!attempt.isUnknownToServer) {
             record.tried.push_back(attempt.server);
         }
     }
@@ -111,9 +111,9 @@
     }
     server_ = plan.server;
     const engine::EngineRequest request = beginAttempt(*server_);
-    if (viewPosition_ > state_.tokens.size()) {
+    if (observerPosition_ > state_.tokens.size()) {
         // The caller has seen tokens that this VM never had: they are made again. (The engine client counts the others.)
-        tools_.metrics->add("tokens_recomputed_total", viewPosition_ - state_.tokens.size());
+        tools_.metrics->add("tokens_recomputed_total", observerPosition_ - state_.tokens.size());
     }
     positionsHeard_ = 0;
     isJoining_ = false;
@@ -199,10 +199,10 @@
     isJoining_ = false;
     state_.tokens.push_back(token.text);
     tools_.planner->progressed(record_, state_.tokens.size());
-    const auto view = view_;
-    if (view && viewPosition_ == token.position) {
-        viewPosition_++;
-        view->onToken(token.position, token.text);
+    const auto observer = observer_;
+    if (observer && observerPosition_ == token.position) {
+        observerPosition_++;
+        observer->onToken(token.position, token.text);
     }
 }
 
@@ -222,23 +222,23 @@
         state_.finishReason = result.finishReason;
         state_.promptTokens = result.promptTokens;
         state_.cachedTokens = result.cachedTokens;
-        if (const auto view = view_) {
-            view->onFinished();
+        if (const auto observer = observer_) {
+            observer->onFinished();
         }
         end();
         return;
     }
     // NOTE By the status: a client that looked for another way first reports a broken stream.
-    const bool isForgotten = isJoining_ && result.status == UnknownStream;
-    if (isForgotten) {
-        state_.attempts.back().isForgotten = true;
+    const bool isUnknownToServer = isJoining_ && result.status == UnknownStream;
+    if (isUnknownToServer) {
+        state_.attempts.back().isUnknownToServer = true;
         std::erase(record_.tried, result.server);
     } else if (result.end == engine::StreamEnd::Rejected) {
         fail({metrics::RefusalReason::BadField, "The engine rejected the request.", Duration(0)});
         return;
     }
     partLogger("streams")->info("An attempt failed. request={} server={} status={} error={}", state_.requestId, result.server, result.status, result.error);
-    const retry::Evidence evidence = isForgotten ? retry::Evidence::Refused : evidenceOf(result);
+    const retry::Evidence evidence = isUnknownToServer ? retry::Evidence::Refused : evidenceOf(result);
     const retry::AttemptPlan plan = tools_.planner->failed(record_, result.server, evidence);
     if (isDetached_) {
         isDormant_ = true;
@@ -247,20 +247,20 @@
     follow(plan);
 }
 
-void StreamSession::attach(std::uint64_t position, StreamView view)
+void StreamSession::attach(std::uint64_t position, StreamObserver observer)
 {
-    const auto replaced = std::exchange(view_, std::make_shared<StreamView>(std::move(view)));
+    const auto replaced = std::exchange(observer_, std::make_shared<StreamObserver>(std::move(observer)));
     if (replaced && replaced->onReplaced) {
         replaced->onReplaced();
     }
     isDetached_ = false;
-    viewPosition_ = position;
-    const auto reader = view_;
-    while (view_ == reader && viewPosition_ < state_.tokens.size()) {
-        const std::uint64_t next = viewPosition_++;
+    observerPosition_ = position;
+    const auto reader = observer_;
+    while (observer_ == reader && observerPosition_ < state_.tokens.size()) {
+        const std::uint64_t next = observerPosition_++;
         reader->onToken(next, state_.tokens[next]);
     }
-    if (view_ != reader) {
+    if (observer_ != reader) {
         return;
     }
     if (state_.finished) {
@@ -274,7 +274,7 @@
 
 void StreamSession::detach()
 {
-    view_.reset();
+    observer_.reset();
     isDetached_ = true;
 }
 
@@ -294,17 +294,17 @@
     end();
 }
 
-bool StreamSession::goesOnElsewhere() const
+bool StreamSession::wasHandedOver() const
 {
-    return goesOnElsewhere_;
+    return wasHandedOver_;
 }
 
-void StreamSession::leave()
+void StreamSession::handOver()
 {
-    const auto reader = std::exchange(view_, nullptr);
+    const auto reader = std::exchange(observer_, nullptr);
     if (!ended_) {
         tools_.engine->leave(call_);
-        goesOnElsewhere_ = true;
+        wasHandedOver_ = true;
         end();
     }
     if (reader && reader->onReplaced) {
@@ -350,8 +350,8 @@
 void StreamSession::fail(const StreamFailure &failure)
 {
     failure_ = failure;
-    if (const auto view = view_) {
-        view->onFailed(failure);
+    if (const auto observer = observer_) {
+        observer->onFailed(failure);
     }
     end();
 }
--- a/src/streams/streamdecision.h
+++ b/src/streams/streamdecision.h
@@ -22,7 +22,7 @@
 /// "req-<unique>~<home>~<zone>~<holder>". Instances and zones have no '~'.
 std::string makeRequestId(std::string_view unique, const RequestIdParts &parts);
 /// Empty if @p requestId was not made by makeRequestId().
-std::optional<RequestIdParts> readRequestId(std::string_view requestId);
+std::optional<RequestIdParts> parseRequestId(std::string_view requestId);
 
 /// The VMs that may hold copies for @p home, best first: another zone of the region, then other regions, then the own
 /// zone. Leaving VMs are left out. Every VM with the same list of VMs computes the same order.
--- a/src/streams/streamkeeper.h
+++ b/src/streams/streamregistry.h
@@ -17,8 +17,8 @@
 
 namespace cardamomlift::streams {
 
-/// What a keeper works with.
-struct KeeperTools {
+/// What a StreamRegistry works with.
+struct StreamRegistryTools {
     SessionTools session;
     std::shared_ptr<peers::PeerTransport> transport;
     std::string zone; ///< Of this VM.
@@ -26,26 +26,26 @@
 };
 
 /// How a search for a request ended.
-enum class FindEnd {
+enum class FindOutcome {
     Found,
-    Unknown, ///< No VM asked has it, or it belongs to another customer.
-    NotNow, ///< Another VM takes it over right now; a repeat helps.
+    NotFound, ///< No VM asked has it, or it belongs to another customer.
+    RetryLater, ///< Another VM takes it over right now; a repeat helps.
 };
 
 /// What a search for a request gave.
 struct FindResult {
-    FindEnd end = FindEnd::Unknown;
+    FindOutcome outcome = FindOutcome::NotFound;
     std::shared_ptr<StreamSession> session; ///< Driven by this VM from now on.
 };
 
 /// Keeps the streamed requests of this VM so that they outlive it: a copy of each stands at another entry VM, any entry
 /// VM can take a request over, and a VM that is leaving hands all of them on. See docs/design/acceptance-and-handover.md.
-class StreamKeeper : public std::enable_shared_from_this<StreamKeeper>
+class StreamRegistry : public std::enable_shared_from_this<StreamRegistry>
 {
 public:
     using FoundHandler = std::function<void(FindResult result)>;
 
-    static std::shared_ptr<StreamKeeper> create(KeeperTools tools);
+    static std::shared_ptr<StreamRegistry> create(StreamRegistryTools tools);
 
     /// A new id, which names this VM and the VM that will hold the copy.
     std::string newRequestId();
@@ -53,24 +53,24 @@
     /// when it is clear that there will be none (counted); the caller may then be told that the request is accepted.
     std::shared_ptr<StreamSession> open(StreamState state, std::function<void()> onAccepted);
     /// The caller of a request has lost its connection. The request is cancelled unless somebody resumes it soon.
-    void readerLost(const std::string &requestId);
+    void onReaderDisconnected(const std::string &requestId);
     /// Finds a request of @p customer here or at another VM, and makes this VM its owner.
     void find(const std::string &requestId, const std::string &customer, FoundHandler handler);
     /// Says that this VM is leaving, and sends all requests with their output so far to other VMs. May be called again.
-    void handOver();
+    void startHandover();
     /// Sends all that is still open once more and, when the copies stand, ends it here without cancelling it.
-    void handOverAndLeave();
+    void finishHandover();
     /// Sessions whose caller is connected, and copies under way.
-    std::size_t open() const;
+    std::size_t openCount() const;
     /// Requests of other VMs of which a copy is here.
-    std::size_t copies() const;
+    std::size_t copyCount() const;
 
 private:
     struct Entry;
     struct Search;
     using EntryPtr = std::shared_ptr<Entry>;
     using SearchPtr = std::shared_ptr<Search>;
-    StreamKeeper() = default;
+    StreamRegistry() = default;
     void handleTopics();
     std::string onCopies(const std::string &from, const std::string &payload);
     void storeCopy(const wire::Copy &copy, wire::CopiesReply &reply);
@@ -96,7 +96,7 @@
     bool isOver(Entry &entry, TimePoint now);
     void removeEntry(const std::string &requestId);
     void evictCopies();
-    KeeperTools tools_;
+    StreamRegistryTools tools_;
     std::string self_;
     std::shared_ptr<CopySender> sender_;
     std::unordered_map<std::string, EntryPtr> entries_;
--- a/src/streams/streamsession.h
+++ b/src/streams/streamsession.h
@@ -22,7 +22,7 @@
     std::shared_ptr<membership::Members> members;
 };
 
-/// Drives one model request over its attempts, independent of the caller's connection. A view is attached to read it.
+/// Drives one model request over its attempts, independent of the caller's connection. An observer is attached to read it.
 class StreamSession : public std::enable_shared_from_this<StreamSession>
 {
 public:
@@ -32,8 +32,8 @@
     /// Goes on with a request that another VM drove: joins the engine's stream at the next position, or tries another
     /// server if the engine no longer has it.
     void join();
-    /// Gives the answer from @p position to @p view, replacing an earlier one, which is told by onReplaced.
-    void attach(std::uint64_t position, StreamView view);
+    /// Gives the answer from @p position to @p observer, replacing an earlier one, which is told by onReplaced.
+    void attach(std::uint64_t position, StreamObserver observer);
     /// The reader is gone. The running attempt goes on; a new one starts only when a reader attaches, so that nobody
     /// pays for an answer that nobody reads.
     void detach();
@@ -41,12 +41,12 @@
     /// Ends the request; the engine's stream is cancelled.
     void cancel();
     /// Ends the request on this VM and leaves the engine's stream running for the VM that goes on with it.
-    void leave();
+    void handOver();
     /// Ends the request; its reader hears @p failure.
     void giveUp(const StreamFailure &failure);
     bool hasEnded() const;
-    /// Ended by leave() before its answer was whole.
-    bool goesOnElsewhere() const;
+    /// Ended by handOver() before its answer was whole.
+    bool wasHandedOver() const;
     const StreamState &state() const;
     /// Called once when the session has ended, in whatever way; at once if it has.
     void onEnded(std::function<void()> handler);
@@ -69,8 +69,8 @@
     SessionTools tools_;
     StreamState state_;
     retry::RequestRecord record_;
-    std::shared_ptr<StreamView> view_; ///< Shared, since a reader may detach from inside its own call.
-    std::uint64_t viewPosition_ = 0;
+    std::shared_ptr<StreamObserver> observer_; ///< Shared, since a reader may detach from inside its own call.
+    std::uint64_t observerPosition_ = 0;
     std::optional<membership::Vm> server_;
     http::CallId call_ = 0;
     std::function<void()> endedHandler_;
@@ -78,7 +78,7 @@
     std::uint64_t positionsHeard_ = 0; ///< After the last token of this attempt, also one that came too early.
     std::optional<StreamFailure> failure_;
     bool ended_ = false;
-    bool goesOnElsewhere_ = false;
+    bool wasHandedOver_ = false;
     bool isDetached_ = false;
     bool isDormant_ = false; ///< Detached, and its attempt failed: waits for a reader before it tries again.
     bool isJoining_ = false; ///< The current attempt was started by another VM.
--- a/src/streams/streamsmodule.cpp
+++ b/src/streams/streamsmodule.cpp
@@ -2,7 +2,7 @@
 #include "kernel/runtime.h"
 #include "lifecycle/lifecycle.h"
 #include "settings/settingstypes.h"
-#include "streams/streamkeeper.h"
+#include "streams/streamregistry.h"
 
 namespace cardamomlift::streams {
 
@@ -23,7 +23,7 @@
 
     Result<void> start(Context &context) override
     {
-        KeeperTools tools;
+        StreamRegistryTools tools;
         tools.session.loop = context.get<Runtime>()->loop;
         tools.session.engine = context.get<engine::EngineClient>();
         tools.session.planner = context.get<retry::AttemptPlanner>();
@@ -31,13 +31,13 @@
         tools.session.members = context.get<membership::Members>();
         tools.transport = context.get<peers::PeerTransport>();
         tools.zone = context.get<settings::Settings>()->zone;
-        const auto keeper = StreamKeeper::create(std::move(tools));
-        context.get<metrics::Metrics>()->gauge("request_copies", [keeper] { return static_cast<double>(keeper->copies()); });
+        const auto registry = StreamRegistry::create(std::move(tools));
+        context.get<metrics::Metrics>()->gauge("request_copies", [registry] { return static_cast<double>(registry->copyCount()); });
         const auto lifecycle = context.get<lifecycle::Lifecycle>();
-        lifecycle->onDrain([keeper] { keeper->handOver(); });
-        lifecycle->onDrainBound([keeper] { keeper->handOverAndLeave(); });
-        lifecycle->addProbe("streams", [keeper] { return keeper->open(); });
-        context.set(keeper);
+        lifecycle->onDrain([registry] { registry->startHandover(); });
+        lifecycle->onDrainBound([registry] { registry->finishHandover(); });
+        lifecycle->addProbe("streams", [registry] { return registry->openCount(); });
+        context.set(registry);
         return success();
     }
 };
--- a/src/streams/streamtypes.h
+++ b/src/streams/streamtypes.h
@@ -16,7 +16,7 @@
 struct Attempt {
     std::string server; ///< Instance.
     std::string engineRequestId; ///< "<request id>-<number>": identity of the attempt, never the address.
-    bool isForgotten = false; ///< The server no longer has the stream, which says nothing against the server.
+    bool isUnknownToServer = false; ///< The server no longer has the stream, which says nothing against the server.
 };
 
 /// All that is known of one model request; enough to go on with it on any VM.
@@ -37,7 +37,7 @@
     std::int64_t promptTokens = 0;
     std::int64_t cachedTokens = 0;
     std::uint64_t generation = 1; ///< Counts changes of the VM that drives it.
-    std::optional<TimePoint> firstTokenBy; ///< By this VM's clock: not told to other VMs, who get what was accepted only.
+    std::optional<TimePoint> firstTokenDeadline; ///< By this VM's clock: not told to other VMs, who get what was accepted only.
 };
 
 /// Why a request ended without a whole answer.
@@ -48,7 +48,7 @@
 };
 
 /// What the reader of a request's answer hears, in order, from the position it asked for.
-struct StreamView {
+struct StreamObserver {
     std::function<void(std::uint64_t position, const std::string &text)> onToken;
     std::function<void()> onFinished;
     std::function<void(const StreamFailure &failure)> onFailed;
--- a/src/streams/tests/streamkeeper_test.cpp
+++ b/src/streams/tests/streamregistry_test.cpp
@@ -3,7 +3,7 @@
 #include "gateway/chatstream.h"
 #include "http/server.h"
 #include "peers/localtransport.h"
-#include "streams/streamkeeper.h"
+#include "streams/streamregistry.h"
 
 #include <fmt/format.h>
 #include <gtest/gtest.h>
@@ -35,7 +35,7 @@
     std::shared_ptr<peers::LocalTransport> transport;
     std::shared_ptr<membership::Members> members;
     std::shared_ptr<metrics::Metrics> metrics = metrics::Metrics::create();
-    std::shared_ptr<StreamKeeper> keeper;
+    std::shared_ptr<StreamRegistry> registry;
 };
 
 /// A caller's connection that takes no bytes.
@@ -91,10 +91,10 @@
     std::size_t buffered_ = 0;
 };
 
-class StreamKeeperTest : public testing::Test
+class StreamRegistryTest : public testing::Test
 {
 protected:
-    StreamKeeperTest()
+    StreamRegistryTest()
     {
         loop_ = std::move(EventLoop::create(clock_).value());
         client_ = std::move(http::Client::create(*loop_).value());
@@ -113,11 +113,11 @@
         node.transport = peers::LocalTransport::create(*loop_, network_, instance);
         node.members = membership::Members::create(instance);
         node.members->applyList(list_);
-        KeeperTools tools;
+        StreamRegistryTools tools;
         tools.session = {loop_.get(), engine::EngineClient::create(client_), makePlanner(node), node.metrics, node.members};
         tools.transport = node.transport;
         tools.zone = zone;
-        node.keeper = StreamKeeper::create(std::move(tools));
+        node.registry = StreamRegistry::create(std::move(tools));
     }
 
     std::shared_ptr<retry::AttemptPlanner> makePlanner(Node &node)
@@ -151,12 +151,12 @@
     std::shared_ptr<StreamSession> openStream()
     {
         StreamState state;
-        state.requestId = first_.keeper->newRequestId();
+        state.requestId = first_.registry->newRequestId();
         state.customer = "customer";
         state.model = "model";
         state.messagesJson = "[]";
         state.maxTokens = 10;
-        auto session = first_.keeper->open(state, [this] { isAccepted_ = true; });
+        auto session = first_.registry->open(state, [this] { isAccepted_ = true; });
         read(session, 0);
         turnUntil([&] { return isAccepted_ && !readers_.empty(); });
         return session;
@@ -164,17 +164,17 @@
 
     void read(const std::shared_ptr<StreamSession> &session, std::uint64_t position)
     {
-        StreamView view;
-        view.onToken = [this](std::uint64_t at, const std::string &text) {
+        StreamObserver observer;
+        observer.onToken = [this](std::uint64_t at, const std::string &text) {
             heard_ += fmt::format("{}{} ", at, text);
         };
-        view.onFinished = [this] {
+        observer.onFinished = [this] {
             heard_ += "end";
         };
-        view.onFailed = [this](const StreamFailure &failure) {
+        observer.onFailed = [this](const StreamFailure &failure) {
             heard_ += "failed: " + failure.message;
         };
-        session->attach(position, view);
+        session->attach(position, observer);
     }
 
     /// Runs the loop until @p condition holds, with the clock standing still.
@@ -213,29 +213,29 @@
 
 } // namespace
 
-TEST_F(StreamKeeperTest, CopyStandsBeforeAcceptance)
+TEST_F(StreamRegistryTest, CopyStandsBeforeAcceptance)
 {
     bool hadCopy = false;
     StreamState state;
-    state.requestId = first_.keeper->newRequestId();
+    state.requestId = first_.registry->newRequestId();
     state.customer = "customer";
     state.model = "model";
-    first_.keeper->open(state, [&] {
-        hadCopy = second_.keeper->copies() == 1;
+    first_.registry->open(state, [&] {
+        hadCopy = second_.registry->copyCount() == 1;
         isAccepted_ = true;
     });
     turnUntil([&] { return isAccepted_; });
     EXPECT_TRUE(hadCopy);
 }
 
-TEST_F(StreamKeeperTest, WithoutAPeerARequestIsServedAndCounted)
+TEST_F(StreamRegistryTest, WithoutAPeerARequestIsServedAndCounted)
 {
     network_->cuts.insert({"entry-1", "entry-2"});
     openStream();
     EXPECT_EQ(first_.metrics->counter("copies_missing_total"), 1U);
 }
 
-TEST_F(StreamKeeperTest, BytesOfAnotherRequestAreNeverPassedOn)
+TEST_F(StreamRegistryTest, BytesOfAnotherRequestAreNeverPassedOn)
 {
     const auto session = openStream();
     const std::string own = session->state().attempts[0].engineRequestId;
@@ -251,7 +251,7 @@
     EXPECT_EQ(session->state().tokens, std::vector<std::string>{"a"});
 }
 
-TEST_F(StreamKeeperTest, TokensOutOfOrderOrTwiceAreDropped)
+TEST_F(StreamRegistryTest, TokensOutOfOrderOrTwiceAreDropped)
 {
     const auto session = openStream();
     const std::string own = session->state().attempts[0].engineRequestId;
@@ -265,7 +265,7 @@
     EXPECT_EQ(session->state().tokens, (std::vector<std::string>{"a", "b", "c"}));
 }
 
-TEST_F(StreamKeeperTest, AnEndWithATokenMissingIsNoEnd)
+TEST_F(StreamRegistryTest, AnEndWithATokenMissingIsNoEnd)
 {
     const auto session = openStream();
     const std::string own = session->state().attempts[0].engineRequestId;
@@ -277,14 +277,14 @@
     EXPECT_EQ(heard_, "0a failed: No server that has not failed is left for this now.");
 }
 
-TEST_F(StreamKeeperTest, ANewOwnerJoinsTheEnginesStreamAndThePreviousOneStops)
+TEST_F(StreamRegistryTest, ANewOwnerJoinsTheEnginesStreamAndThePreviousOneStops)
 {
     const auto session = openStream();
     const std::string own = session->state().attempts[0].engineRequestId;
     readers_[0]->write(chunk(own, 0, "a"));
     turnUntil([&] { return heard_ == "0a "; });
     std::shared_ptr<StreamSession> taken;
-    second_.keeper->find(session->state().requestId, "customer", [&](const FindResult &result) { taken = result.session; });
+    second_.registry->find(session->state().requestId, "customer", [&](const FindResult &result) { taken = result.session; });
     turnUntil([&] { return taken && readers_.size() == 2; });
     ASSERT_TRUE(taken);
     read(taken, 1);
@@ -300,14 +300,14 @@
     EXPECT_TRUE(cancelled_.empty());
 }
 
-TEST_F(StreamKeeperTest, AStreamThatTheEngineForgotGoesOnAsANewAttempt)
+TEST_F(StreamRegistryTest, AStreamThatTheEngineForgotGoesOnAsANewAttempt)
 {
     const auto session = openStream();
     readers_[0]->write(chunk(session->state().attempts[0].engineRequestId, 0, "a"));
     turnUntil([&] { return heard_ == "0a "; });
     hasForgotten_ = true;
     std::shared_ptr<StreamSession> taken;
-    second_.keeper->find(session->state().requestId, "customer", [&](const FindResult &result) { read(taken = result.session, 1); });
+    second_.registry->find(session->state().requestId, "customer", [&](const FindResult &result) { read(taken = result.session, 1); });
     turnUntil([&] { return readers_.size() == 2; });
     ASSERT_TRUE(taken);
     // The one server there is has done nothing wrong.
@@ -316,27 +316,27 @@
     turnUntil([&] { return heard_ == "0a 1b "; });
 }
 
-TEST_F(StreamKeeperTest, ALostCallersStreamIsCancelledAfterTheResumeWindow)
+TEST_F(StreamRegistryTest, ALostCallersStreamIsCancelledAfterTheResumeWindow)
 {
     const auto session = openStream();
-    first_.keeper->readerLost(session->state().requestId);
+    first_.registry->onReaderDisconnected(session->state().requestId);
     pass(std::chrono::seconds(9));
     EXPECT_FALSE(session->hasEnded());
     pass(std::chrono::seconds(2));
     pass(std::chrono::seconds(1));
     EXPECT_TRUE(session->hasEnded());
-    turnUntil([&] { return !cancelled_.empty() && second_.keeper->copies() == 0; });
+    turnUntil([&] { return !cancelled_.empty() && second_.registry->copyCount() == 0; });
     EXPECT_EQ(cancelled_.size(), 1U);
 }
 
-TEST_F(StreamKeeperTest, ASlowCallersBufferIsBoundedAndItsRequestResumes)
+TEST_F(StreamRegistryTest, ASlowCallersBufferIsBoundedAndItsRequestResumes)
 {
     const auto session = openStream();
     const std::string own = session->state().attempts[0].engineRequestId;
     gateway::GatewayTools tools;
     tools.callerBufferBytes = 1000;
     tools.metrics = first_.metrics;
-    tools.keeper = first_.keeper;
+    tools.streamRegistry = first_.registry;
     const auto responder = std::make_shared<StuckResponder>();
     gateway::streamTo(tools, session, responder, 0);
     for (int i = 0; i < 50; i++) {
@@ -351,34 +351,34 @@
     EXPECT_EQ(heard_, "48t 49t ");
 }
 
-TEST_F(StreamKeeperTest, ADetachedRequestStartsNoNewAttempt)
+TEST_F(StreamRegistryTest, ADetachedRequestStartsNoNewAttempt)
 {
     const auto session = openStream();
-    first_.keeper->readerLost(session->state().requestId);
+    first_.registry->onReaderDisconnected(session->state().requestId);
     readers_[0]->abort();
     turnUntil([&] { return client_->openCalls() == 0; });
     EXPECT_EQ(session->state().attempts.size(), 1U);
     EXPECT_FALSE(session->hasEnded());
 }
 
-TEST_F(StreamKeeperTest, ALeavingVmRefusesCopies)
+TEST_F(StreamRegistryTest, ALeavingVmRefusesCopies)
 {
-    second_.keeper->handOver();
+    second_.registry->startHandover();
     openStream();
-    EXPECT_EQ(second_.keeper->copies(), 0U);
+    EXPECT_EQ(second_.registry->copyCount(), 0U);
     EXPECT_TRUE(first_.members->isLeaving("entry-2"));
 }
 
-TEST_F(StreamKeeperTest, AnotherCustomerFindsNothing)
+TEST_F(StreamRegistryTest, AnotherCustomerFindsNothing)
 {
     const auto session = openStream();
     int answers = 0;
     const auto expectUnknown = [&](const FindResult &result) {
-        EXPECT_EQ(result.end, FindEnd::Unknown);
+        EXPECT_EQ(result.outcome, FindOutcome::NotFound);
         answers++;
     };
-    first_.keeper->find(session->state().requestId, "other", expectUnknown);
-    second_.keeper->find(session->state().requestId, "other", expectUnknown);
+    first_.registry->find(session->state().requestId, "other", expectUnknown);
+    second_.registry->find(session->state().requestId, "other", expectUnknown);
     turnUntil([&] { return answers == 2; });
     EXPECT_FALSE(session->hasEnded());
 }
