--- a/src/gateway/internal/chathandler.cpp
+++ b/src/gateway/internal/chathandler.cpp
@@ -77,8 +77,8 @@
     parameters.maxOutputTokens = std::min(request->maxTokens.value_or(grant->maxOutputTokens), grant->maxOutputTokens);
     parameters.estimatedTokens = request->estimatedPromptTokens + parameters.maxOutputTokens;
     const TimePoint firstTokenDeadline = tools_.loop->now() + std::chrono::milliseconds(serviceClass->waitUpToMs + serviceClass->firstTokenMs);
-    tools_.admission->requestAdmission(
-        parameters, [this, caller, request = *request, grant = *grant, serviceClass = *serviceClass, firstTokenDeadline](admission::AdmissionDecision decision) {
+    tools_.admission->requestAdmission(parameters,
+        [this, caller, request = *request, grant = *grant, serviceClass = *serviceClass, firstTokenDeadline](admission::AdmissionDecision decision) {
             if (!decision.admitted) {
                 refuse(caller, {decision.reason, std::string(admission::refusalMessage(decision.reason)), decision.retryAfter});
                 return;
