--- a/src/streams/internal/streamsession.cpp
+++ b/src/streams/internal/streamsession.cpp
@@ -30,15 +30,15 @@
     return routing::AttemptEnd::Failed;
 }
 
-retry::Evidence evidenceOf(const engine::EngineResult &result)
+retry::FailureKind failureKindOf(const engine::EngineResult &result)
 {
     if (!result.wasConnected) {
-        return retry::Evidence::NotSent;
+        return retry::FailureKind::NotSent;
     }
     if (result.end == engine::StreamEnd::Refused) {
-        return retry::Evidence::Refused;
+        return retry::FailureKind::Refused;
     }
-    return result.timedOut ? retry::Evidence::TimedOut : retry::Evidence::Broken;
+    return result.timedOut ? retry::FailureKind::TimedOut : retry::FailureKind::ConnectionBroken;
 }
 
 } // namespace
@@ -68,9 +68,9 @@
     record.fingerprint = suspects::fingerprintOf(state_.customer, state_.model, state_.messagesJson);
     record.position = state_.tokens.size();
     record.accepted = !state_.tokens.empty();
-    record.deadline = state_.firstTokenBy;
+    record.deadline = state_.firstTokenDeadline;
     for (const Attempt &attempt : state_.attempts) {
-        if (!attempt.isForgotten) {
+        if (!attempt.isUnknownToServer) {
             record.tried.push_back(attempt.server);
         }
     }
@@ -79,7 +79,7 @@
 
 std::optional<engine::NextAttempt> StreamSession::nextAttempt()
 {
-    const auto server = ended_ ? std::nullopt : tools_.planner->move(record_);
+    const auto server = ended_ ? std::nullopt : tools_.planner->planMove(record_);
     if (!server) {
         return std::nullopt;
     }
@@ -104,16 +104,16 @@
 
 void StreamSession::tryNext()
 {
-    const retry::AttemptPlan plan = tools_.planner->next(record_);
+    const retry::AttemptPlan plan = tools_.planner->planAttempt(record_);
     if (plan.kind != retry::PlanKind::Try) {
         follow(plan);
         return;
     }
     server_ = plan.server;
     const engine::EngineRequest request = beginAttempt(*server_);
-    if (viewPosition_ > state_.tokens.size()) {
+    if (observerPosition_ > state_.tokens.size()) {
         // The caller has seen tokens that this VM never had: they are made again. (The engine client counts the others.)
-        tools_.metrics->add("tokens_recomputed_total", viewPosition_ - state_.tokens.size());
+        tools_.metrics->add("tokens_recomputed_total", observerPosition_ - state_.tokens.size());
     }
     positionsHeard_ = 0;
     isJoining_ = false;
@@ -157,7 +157,7 @@
     }
     server_ = *server;
     isJoining_ = true;
-    tools_.planner->joined(record_, *server_);
+    tools_.planner->adoptAttempt(record_, *server_);
     tools_.metrics->add("streams_joined_total");
     call_ = tools_.engine->resume(*server_, state_.attempts.back().engineRequestId, state_.tokens.size(), hooksOf(++run_));
 }
@@ -178,10 +178,10 @@
         return std::span<const std::string>(self->state_.tokens);
     };
     hooks.onLeft = [self = shared_from_this()](const std::string &instance, engine::StreamEnd end) {
-        self->tools_.planner->left(self->record_, instance, attemptEnd(end));
+        self->tools_.planner->attemptReplaced(self->record_, instance, attemptEnd(end));
     };
     hooks.onBroken = [self = shared_from_this()](const std::string &instance) {
-        self->tools_.planner->broken(instance);
+        self->tools_.planner->connectionBroken(instance);
     };
     return hooks;
 }
@@ -199,10 +199,10 @@
     isJoining_ = false;
     state_.tokens.push_back(token.text);
     tools_.planner->progressed(record_, state_.tokens.size());
-    const auto view = view_;
-    if (view && viewPosition_ == token.position) {
-        viewPosition_++;
-        view->onToken(token.position, token.text);
+    const auto observer = observer_;
+    if (observer && observerPosition_ == token.position) {
+        observerPosition_++;
+        observer->onToken(token.position, token.text);
     }
 }
 
@@ -211,7 +211,7 @@
     const bool isLast = !ended_ && run == run_;
     const bool isFinal = result.end == engine::StreamEnd::Finished || result.end == engine::StreamEnd::Rejected;
     if (!isLast || isFinal) {
-        tools_.planner->ended(record_, result.server, attemptEnd(result.end));
+        tools_.planner->attemptEnded(record_, result.server, attemptEnd(result.end));
     }
     if (!isLast) {
         return;
@@ -222,24 +222,24 @@
         state_.finishReason = result.finishReason;
         state_.promptTokens = result.promptTokens;
         state_.cachedTokens = result.cachedTokens;
-        if (const auto view = view_) {
-            view->onFinished();
+        if (const auto observer = observer_) {
+            observer->onFinished();
         }
         end();
         return;
     }
     // NOTE By the status: a client that looked for another way first reports a broken stream.
-    const bool isForgotten = isJoining_ && result.status == UnknownStream;
-    if (isForgotten) {
-        state_.attempts.back().isForgotten = true;
+    const bool isUnknownToServer = isJoining_ && result.status == UnknownStream;
+    if (isUnknownToServer) {
+        state_.attempts.back().isUnknownToServer = true;
         std::erase(record_.tried, result.server);
     } else if (result.end == engine::StreamEnd::Rejected) {
         fail({metrics::RefusalReason::BadField, "The engine rejected the request.", Duration(0)});
         return;
     }
     partLogger("streams")->info("An attempt failed. request={} server={} status={} error={}", state_.requestId, result.server, result.status, result.error);
-    const retry::Evidence evidence = isForgotten ? retry::Evidence::Refused : evidenceOf(result);
-    const retry::AttemptPlan plan = tools_.planner->failed(record_, result.server, evidence);
+    const retry::FailureKind failure = isUnknownToServer ? retry::FailureKind::Refused : failureKindOf(result);
+    const retry::AttemptPlan plan = tools_.planner->attemptFailed(record_, result.server, failure);
     if (isDetached_) {
         isDormant_ = true;
         return;
@@ -247,20 +247,20 @@
     follow(plan);
 }
 
-void StreamSession::attach(std::uint64_t position, StreamView view)
+void StreamSession::attach(std::uint64_t position, StreamObserver observer)
 {
-    const auto replaced = std::exchange(view_, std::make_shared<StreamView>(std::move(view)));
+    const auto replaced = std::exchange(observer_, std::make_shared<StreamObserver>(std::move(observer)));
     if (replaced && replaced->onReplaced) {
         replaced->onReplaced();
     }
     isDetached_ = false;
-    viewPosition_ = position;
-    const auto reader = view_;
-    while (view_ == reader && viewPosition_ < state_.tokens.size()) {
-        const std::uint64_t next = viewPosition_++;
+    observerPosition_ = position;
+    const auto reader = observer_;
+    while (observer_ == reader && observerPosition_ < state_.tokens.size()) {
+        const std::uint64_t next = observerPosition_++;
         reader->onToken(next, state_.tokens[next]);
     }
-    if (view_ != reader) {
+    if (observer_ != reader) {
         return;
     }
     if (state_.finished) {
@@ -274,7 +274,7 @@
 
 void StreamSession::detach()
 {
-    view_.reset();
+    observer_.reset();
     isDetached_ = true;
 }
 
@@ -294,17 +294,17 @@
     end();
 }
 
-bool StreamSession::goesOnElsewhere() const
+bool StreamSession::wasHandedOver() const
 {
-    return goesOnElsewhere_;
+    return wasHandedOver_;
 }
 
-void StreamSession::leave()
+void StreamSession::handOver()
 {
-    const auto reader = std::exchange(view_, nullptr);
+    const auto reader = std::exchange(observer_, nullptr);
     if (!ended_) {
         tools_.engine->leave(call_);
-        goesOnElsewhere_ = true;
+        wasHandedOver_ = true;
         end();
     }
     if (reader && reader->onReplaced) {
@@ -350,8 +350,8 @@
 void StreamSession::fail(const StreamFailure &failure)
 {
     failure_ = failure;
-    if (const auto view = view_) {
-        view->onFailed(failure);
+    if (const auto observer = observer_) {
+        observer->onFailed(failure);
     }
     end();
 }
