--- a/src/admission/internal/waitqueue.cpp
+++ b/src/admission/internal/waitqueue.cpp
@@ -6,10 +6,10 @@
 
 void enqueue(WaitQueue &queue, WaitEntry entry)
 {
-    PriorityQueue &priority = queue.priorities[static_cast<std::size_t>(entry.priority)];
-    const auto [customer, isNew] = priority.customers.try_emplace(entry.customer);
+    FairQueue &fairQueue = queue.priorities[static_cast<std::size_t>(entry.priority)];
+    const auto [customer, isNew] = fairQueue.customers.try_emplace(entry.customer);
     if (isNew) {
-        customer->second.startTag = priority.virtualTime;
+        customer->second.startTag = fairQueue.virtualTime;
     }
     customer->second.entries.emplace(entry.deadline, std::move(entry));
     queue.size++;
@@ -18,19 +18,19 @@
 std::optional<WaitEntry> dequeue(WaitQueue &queue, const std::array<bool, PriorityCount> &isAllowed)
 {
     for (std::size_t i = 0; i < PriorityCount; i++) {
-        PriorityQueue &priority = queue.priorities[i];
-        if (!isAllowed[i] || priority.customers.empty()) {
+        FairQueue &fairQueue = queue.priorities[i];
+        if (!isAllowed[i] || fairQueue.customers.empty()) {
             continue;
         }
         const auto customer = std::min_element(
-            priority.customers.begin(), priority.customers.end(), [](const auto &a, const auto &b) { return a.second.startTag < b.second.startTag; });
+            fairQueue.customers.begin(), fairQueue.customers.end(), [](const auto &a, const auto &b) { return a.second.startTag < b.second.startTag; });
         CustomerQueue &customerQueue = customer->second;
         WaitEntry entry = std::move(customerQueue.entries.begin()->second);
         customerQueue.entries.erase(customerQueue.entries.begin());
-        priority.virtualTime = customerQueue.startTag;
+        fairQueue.virtualTime = customerQueue.startTag;
         customerQueue.startTag += std::max<std::int64_t>(1, entry.tokens);
         if (customerQueue.entries.empty()) {
-            priority.customers.erase(customer);
+            fairQueue.customers.erase(customer);
         }
         queue.size--;
         return entry;
@@ -40,9 +40,9 @@
 
 bool removeEntry(WaitQueue &queue, const WaitEntry &entry)
 {
-    PriorityQueue &priority = queue.priorities[static_cast<std::size_t>(entry.priority)];
-    const auto customer = priority.customers.find(entry.customer);
-    if (customer == priority.customers.end()) {
+    FairQueue &fairQueue = queue.priorities[static_cast<std::size_t>(entry.priority)];
+    const auto customer = fairQueue.customers.find(entry.customer);
+    if (customer == fairQueue.customers.end()) {
         return false;
     }
     auto &entries = customer->second.entries;
@@ -53,7 +53,7 @@
     }
     entries.erase(found);
     if (entries.empty()) {
-        priority.customers.erase(customer);
+        fairQueue.customers.erase(customer);
     }
     queue.size--;
     return true;
--- a/src/admission/waitqueue.h
+++ b/src/admission/waitqueue.h
@@ -28,15 +28,15 @@
     std::int64_t startTag = 0; ///< Of its next request, in start-time fair queueing: grows by the tokens of each admitted one.
 };
 
-/// The requests of one priority, by customer.
-struct PriorityQueue {
+/// The requests of one priority, shared fairly between customers.
+struct FairQueue {
     std::map<std::string, CustomerQueue> customers; ///< Only customers with waiting requests.
     std::int64_t virtualTime = 0; ///< Start tag of the request admitted last, and of the first one of a new customer.
 };
 
 /// The requests that wait for capacity at one model or service.
 struct WaitQueue {
-    std::array<PriorityQueue, PriorityCount> priorities;
+    std::array<FairQueue, PriorityCount> priorities;
     std::size_t size = 0;
 };
 
--- a/src/limits/internal/customerlimiter.cpp
+++ b/src/limits/internal/customerlimiter.cpp
@@ -14,7 +14,8 @@
 constexpr Duration TickPeriod = std::chrono::milliseconds(500);
 constexpr Duration MaxWait = std::chrono::milliseconds(1500);
 constexpr Duration GrantRetryDelay = std::chrono::milliseconds(100);
-constexpr Duration GrantorChangeTimeout = std::chrono::seconds(3); ///< A grantor that stops granting is assumed to have changed: requests wait for the new one.
+/// For this time after the last grant, a refusal to grant is taken as a change of the grantor: requests wait for the new one.
+constexpr Duration GrantorChangeTimeout = std::chrono::seconds(3);
 constexpr Duration OwnSharePeriod = std::chrono::milliseconds(500);
 constexpr Duration UnusedGrantRetention = std::chrono::seconds(2);
 constexpr Duration UnusedSlotRetention = std::chrono::seconds(10); ///< Unless slots are scarce: then unused ones are returned at once.
--- a/src/limits/internal/customerlimitergrantor.cpp
+++ b/src/limits/internal/customerlimitergrantor.cpp
@@ -13,7 +13,8 @@
 
 namespace {
 
-constexpr Duration GrantorWarmUp = std::chrono::seconds(1); ///< A new grantor grants nothing for this time, in which grants of the earlier one are used up.
+/// A new grantor grants nothing for this time, in which the grants of the earlier one are used up.
+constexpr Duration GrantorWarmUp = std::chrono::seconds(1);
 constexpr std::size_t ProbesAfterTimeout = 4;
 
 } // namespace
@@ -64,7 +65,7 @@
     const auto contract = tools_.contracts->find(customer);
     const std::string_view grantorInstance = grantor(customer);
     if (!contract || grantorInstance != tools_.members->self()) {
-        // The requesting VM may have noticed before this one that the grantor is dead.
+        // The requesting VM may have noticed before this one that the grantor has failed.
         if (!grantorInstance.empty() && contract) {
             probe(std::string(grantorInstance));
         }
--- a/src/limits/internal/limitshare.h
+++ b/src/limits/internal/limitshare.h
@@ -10,7 +10,9 @@
 
 namespace cardamomlift::limits {
 
-inline constexpr Duration InitialRefusalBackoff = std::chrono::milliseconds(25); ///< Doubled after each grant that does not cover all waiting requests.
+/// After a grant that does not cover all waiting requests, others are refused for this time without asking the grantor. Doubled
+/// each time until a grant covers them all.
+inline constexpr Duration InitialRefusalBackoff = std::chrono::milliseconds(25);
 inline constexpr double IdleRequestsPerSecond = 0.1; ///< A customer with a lower rate is idle: nothing is prefetched for it.
 inline constexpr Duration CallTimeout = std::chrono::milliseconds(250);
 inline constexpr Duration SlotReturnDelay = std::chrono::milliseconds(20);
--- a/src/routing/internal/router.cpp
+++ b/src/routing/internal/router.cpp
@@ -27,8 +27,8 @@
 
 double decayed(const ServerState &state, TimePoint now)
 {
-    const double lags = std::chrono::duration<double>(now - state.recentStartsAt) / ReportLag;
-    return state.recentStarts * std::exp(-lags);
+    const double elapsedLags = std::chrono::duration<double>(now - state.recentStartsAt) / ReportLag;
+    return state.recentStarts * std::exp(-elapsedLags);
 }
 
 /// The counts of requests in a report decay with its age.
@@ -86,8 +86,8 @@
     // NOTE A dead server looks idle compared with the load that others report, and would attract all first attempts at once.
     const bool isRetry = !criteria.exclude.empty();
     const bool wasProbed = state.recentStartsAt >= state.avoidUntil && now - state.recentStartsAt < InitialBackoff;
-    const bool isOnTrial = state.consecutiveFailures > 0 && (isRetry || wasProbed);
-    result.failedRecently = now < state.avoidUntil || isOnTrial || members_->isUnreachable(vm.instance);
+    const bool isPresumedDown = state.consecutiveFailures > 0 && (isRetry || wasProbed);
+    result.failedRecently = now < state.avoidUntil || isPresumedDown || members_->isUnreachable(vm.instance);
     return result;
 }
 
