--- a/src/membership/heartbeat.h
+++ b/src/membership/heartbeat.h
@@ -27,6 +27,7 @@
     Reachability reachability() const;
 
 private:
+    /// One probe of a neighbour, direct and indirect; shared by its timers and reply handlers.
     struct Round {
         bool answered = false;
     };
--- a/src/membership/internal/loadpoller.cpp
+++ b/src/membership/internal/loadpoller.cpp
@@ -55,7 +55,7 @@
         }
     }
     std::set<std::string> all;
-    std::map<std::vector<std::string>, bool> seen; // Models served by the same servers have the same subset.
+    std::map<std::vector<std::string>, bool> seen; // Models served by the same servers have the same subset; computed once.
     for (const auto &[model, servers] : byModel) {
         if (!seen.emplace(servers, true).second) {
             continue;
@@ -74,7 +74,7 @@
     poller->client_ = std::move(client);
     poller->members_ = std::move(members);
     poller->reports_ = std::move(reports);
-    poller->members_->onChange([raw = poller.get()] { raw->targetsChanged_ = true; });
+    poller->members_->onChange([raw = poller.get()] { raw->targetsOutdated_ = true; });
     return poller;
 }
 
@@ -90,8 +90,8 @@
 
 void LoadPoller::tick()
 {
-    if (targetsChanged_) {
-        targetsChanged_ = false;
+    if (targetsOutdated_) {
+        targetsOutdated_ = false;
         targets_ = polledServers(*members_);
         reports_->keepOnly([this](const std::string &instance) { return members_->find(instance) != nullptr; });
     }
--- a/src/membership/internal/members.cpp
+++ b/src/membership/internal/members.cpp
@@ -7,7 +7,7 @@
 namespace {
 
 constexpr Duration ProvisionalTtl = std::chrono::minutes(3);
-constexpr Duration MarkRetention = std::chrono::hours(24);
+constexpr Duration MarkRetention = std::chrono::hours(24); // After the list last showed the instance.
 
 } // namespace
 
@@ -86,7 +86,7 @@
 
 bool Members::addMark(const std::string &instance, LeavingMark mark)
 {
-    return marks_.emplace(instance, Mark{std::move(mark), now()}).second;
+    return marks_.emplace(instance, MarkEntry{std::move(mark), now()}).second;
 }
 
 bool Members::isLeaving(const std::string &instance) const
@@ -116,7 +116,7 @@
             (isUnreachable(instance) ? unreachable : reachable).push_back(vm);
         }
     }
-    // NOTE With no other server left, one that refused connections a moment ago is still worth a try.
+    // NOTE If no other server is left, one that refused connections a moment ago is still worth a try.
     return reachable.empty() ? unreachable : reachable;
 }
 
@@ -187,7 +187,7 @@
         return;
     }
     health_[instance] = health;
-    // The word that a VM was listed is older than this one. A VM that ended must not count as listed for minutes.
+    // The rumour that this VM was listed is older than its failure. A VM that has ended must not stay a member for minutes.
     if (health == Health::Failed && provisional_.erase(instance) > 0) {
         rebuild();
     }
@@ -210,7 +210,7 @@
     return marks_.size();
 }
 
-// NOTE Not by rebuild(): when a failure domain goes, a hundred marks come at once.
+// NOTE Changes one entry instead of calling rebuild(): when a failure domain goes down, a hundred marks arrive at once.
 void Members::applyMark(const std::string &instance)
 {
     const auto found = vms_.find(instance);
@@ -228,7 +228,7 @@
     }
 }
 
-// Calls the handlers only when something changed: a reading of the list is usually the same as the last.
+// Calls the handlers only if something changed: the list read is usually the same as the one before.
 void Members::rebuild()
 {
     std::map<std::string, Vm> next = listed_;
--- a/src/membership/internal/membershipgossip.cpp
+++ b/src/membership/internal/membershipgossip.cpp
@@ -31,8 +31,9 @@
     return WallTime(std::chrono::milliseconds(ms));
 }
 
-/// Orders words: by the period they fall in, confirmed ones above single ones, then by reporter. Two reporters that speak at
-/// once thus have different versions, and one of them hears the other.
+/// Orders reports by the period that their end time falls in, then confirmed above unconfirmed ones, then by a hash of the
+/// reporter. The hash gives simultaneous reports of two VMs different versions, so that one of the two accepts the other's
+/// report as new and confirms it.
 std::uint64_t reportVersion(const UnreachableReport &report)
 {
     const auto period = static_cast<std::uint64_t>(report.until.time_since_epoch() / UnreachableDuration);
--- a/src/membership/internal/overlay.cpp
+++ b/src/membership/internal/overlay.cpp
@@ -18,14 +18,14 @@
     return a.first != b.first ? a.first < b.first : a.second->instance < b.second->instance;
 }
 
-void addOnce(std::vector<std::string> &list, const std::string &instance)
+void addUnique(std::vector<std::string> &list, const std::string &instance)
 {
     if (std::find(list.begin(), list.end(), instance) == list.end()) {
         list.push_back(instance);
     }
 }
 
-/// All other VMs, if they are few enough to be neighbours all; else nothing.
+/// All other VMs, if there are at most MaxNeighbours; else nothing.
 std::vector<std::string> othersIfFew(std::span<const Vm> entries, const std::string &self)
 {
     std::vector<std::string> others;
@@ -41,7 +41,7 @@
     return others;
 }
 
-/// The VMs just before and just after @p own on the ring of salt @p ring; null if there is no other VM.
+/// The predecessor and successor of @p self on the ring with salt @p ring; null if there is no other VM.
 std::pair<const Vm *, const Vm *> adjacentOnRing(std::span<const Vm> entries, const std::string &self, std::uint64_t ring)
 {
     const Vm own{self};
@@ -76,8 +76,8 @@
         if (!before) {
             return result;
         }
-        addOnce(result, before->instance);
-        addOnce(result, after->instance);
+        addUnique(result, before->instance);
+        addUnique(result, after->instance);
     }
     return result;
 }
--- a/src/membership/internal/subset.cpp
+++ b/src/membership/internal/subset.cpp
@@ -9,7 +9,8 @@
 namespace {
 
 constexpr std::size_t MinEntriesPerServer = 3;
-// Room above the mean: more room changes less when a VM goes, less room is more even.
+// Maximum servers per entry VM, in percent of the mean. With a higher limit fewer assignments change when a VM goes; with a
+// lower one the servers are spread more evenly.
 constexpr std::size_t CapacityPercent = 125;
 
 struct Ranked {
@@ -32,7 +33,8 @@
     return hashes;
 }
 
-/// A hash of two hashes (the finisher of SplitMix64): a whole table of them is made at each change of the list.
+/// Combines two hashes with the finaliser of SplitMix64. It is cheap, as it runs for each pair of a server and an entry VM at
+/// each change of the list.
 std::uint64_t mix(std::uint64_t a, std::uint64_t b)
 {
     std::uint64_t value = a + b * 0x9e3779b97f4a7c15ULL;
@@ -41,7 +43,7 @@
     return value ^ (value >> 31);
 }
 
-/// All of @p hashes as @p own ranks them, best first.
+/// The rendezvous hash of each of @p hashes with @p ownHash, in the order of @p hashes. A lower hash ranks higher.
 std::vector<Ranked> rank(std::uint64_t ownHash, std::span<const std::uint64_t> hashes)
 {
     std::vector<Ranked> ranked;
@@ -52,7 +54,8 @@
     return ranked;
 }
 
-/// The first @p count entries in rank order that have room; takes the room.
+/// Picks the first @p count entry VMs in rank order that are assigned to fewer than @p maxServersPerEntry servers, and counts
+/// the assignment.
 void pickEntries(
     std::vector<Ranked> ranked, std::size_t count, std::size_t maxServersPerEntry, std::vector<std::size_t> &assigned, std::vector<std::size_t> &picked)
 {
@@ -75,7 +78,7 @@
     return result;
 }
 
-/// Adds the own best servers until there are @p least.
+/// Adds the servers that @p self ranks highest until @p subset has @p minimum of them.
 void addOwnPicks(std::vector<std::string> &subset, std::span<const std::string> servers, const std::string &self, std::size_t minimum)
 {
     std::vector<Ranked> ranked = rank(text::stableHash(self), hashesOf(servers));
@@ -109,13 +112,14 @@
     const std::vector<std::string> sortedEntries = sorted(entries);
     const std::vector<std::uint64_t> entryHashes = hashesOf(sortedEntries);
     const std::vector<std::uint64_t> serverHashes = hashesOf(sortedServers);
-    const std::size_t serverEntries = entriesPerServer(servers.size(), entries.size(), size);
-    const std::size_t maxServersPerEntry = (serverEntries * servers.size() * CapacityPercent / 100 + entries.size()) / std::max<std::size_t>(1, entries.size());
+    const std::size_t picksPerServer = entriesPerServer(servers.size(), entries.size(), size);
+    const std::size_t maxServersPerEntry =
+        (picksPerServer * servers.size() * CapacityPercent / 100 + entries.size()) / std::max<std::size_t>(1, entries.size());
     std::vector<std::size_t> assigned(sortedEntries.size());
     std::vector<std::string> subset;
     for (std::size_t i = 0; i < sortedServers.size(); i++) {
         std::vector<std::size_t> picked;
-        pickEntries(rank(serverHashes[i], entryHashes), serverEntries, maxServersPerEntry, assigned, picked);
+        pickEntries(rank(serverHashes[i], entryHashes), picksPerServer, maxServersPerEntry, assigned, picked);
         const bool isPicked = std::any_of(picked.begin(), picked.end(), [&](std::size_t entry) { return sortedEntries[entry] == self; });
         if (isPicked) {
             subset.push_back(sortedServers[i]);
--- a/src/membership/internal/vmlist.cpp
+++ b/src/membership/internal/vmlist.cpp
@@ -16,7 +16,7 @@
 constexpr Duration ReadTimeout = std::chrono::seconds(2);
 constexpr Duration MinReadInterval = std::chrono::milliseconds(500);
 constexpr Duration MaxReadInterval = std::chrono::minutes(2);
-constexpr Duration FleetReadInterval = std::chrono::milliseconds(250); // Between two readings of any VMs.
+constexpr Duration FleetReadInterval = std::chrono::milliseconds(250); // Between two reads by any VMs of the fleet.
 
 template<class Enum, std::size_t Size>
 std::optional<Enum> byName(const std::array<std::pair<Enum, std::string_view>, Size> &names, const std::string &name)
@@ -58,7 +58,7 @@
     const Duration interval = listReadInterval(entries);
     const auto fraction = static_cast<std::int64_t>(text::stableHash(self, readNumber) % Steps);
     const auto steps = static_cast<std::int64_t>(Steps);
-    // The first wait spreads the VMs over a whole period, later ones keep them apart.
+    // The first delay spreads the VMs over a whole interval; later ones vary by a third around it, which keeps them apart.
     const Duration delay = readNumber == 1 ? interval * fraction / steps : interval * (steps + fraction) * 2 / (steps * 3);
     return std::max(delay, MinReadInterval);
 }
@@ -147,7 +147,7 @@
 
 void VmListReader::scheduleRead()
 {
-    // Until the list was read once, this VM knows of no peers that could tell it anything.
+    // Until the first successful read, this VM knows no peers that could publish VMs to it, so it retries quickly.
     const Duration delay = hasRead_ ? listReadDelay(members_->peers().size() + 1, members_->self(), ++readCount_) : MinReadInterval;
     loop_->after(delay, [this] { read(); });
 }
@@ -164,7 +164,7 @@
         counters_.bytesReceived += result.bytesReceived;
         const auto json = result.status == 200 ? http::parseJson(result.body) : std::nullopt;
         if (!json || !(*json)["vms"].isArray()) {
-            partLogger("membership")->warn("The VM list can't be read. error={}", result.error);
+            partLogger("membership")->warn("The platform's VM list can't be read. error={}", result.error);
             scheduleRead();
             return;
         }
--- a/src/membership/loadpoller.h
+++ b/src/membership/loadpoller.h
@@ -15,20 +15,20 @@
 
 namespace cardamomlift::membership {
 
-/// A model engine's answer to GET /load. Empty if it is not one.
+/// Reads a model engine's answer to GET /load. Empty if @p json is not a load report.
 std::optional<LoadReport> loadReportFromJson(const Json::Value &json);
 
-/// The model servers this entry VM uses: the union of its subsets of each model.
+/// The model servers whose load this entry VM polls: the union of the subsets it uses of each model, sorted.
 std::vector<std::string> polledServers(const Members &members);
 
-/// Asks the model servers this VM uses for their load, those only that were not heard of for some seconds.
+/// Polls the load of the model servers this VM uses, but only of those whose last report is some seconds old.
 class LoadPoller
 {
 public:
     static std::shared_ptr<LoadPoller> create(
         EventLoop &loop, std::shared_ptr<http::Client> client, std::shared_ptr<Members> members, std::shared_ptr<LoadReports> reports);
     void start();
-    /// The servers watched now, sorted.
+    /// The servers polled now, sorted.
     const std::vector<std::string> &targets() const;
 
 private:
@@ -40,9 +40,9 @@
     std::shared_ptr<Members> members_;
     std::shared_ptr<LoadReports> reports_;
     std::vector<std::string> targets_;
-    std::set<std::string> inFlight_; ///< Polls under way.
+    std::set<std::string> inFlight_; ///< Servers with a poll in progress.
     std::size_t nextTarget_ = 0;
-    bool targetsChanged_ = true; ///< The members changed since watched_ was computed.
+    bool targetsOutdated_ = true; ///< The members changed since targets_ was computed.
 };
 
 } // namespace cardamomlift::membership
--- a/src/membership/members.h
+++ b/src/membership/members.h
@@ -13,56 +13,58 @@
 
 namespace cardamomlift::membership {
 
-/// All VMs this VM knows of, from the platform's list and from what VMs see themselves.
+/// All VMs this VM knows of, from the platform's list and from what VMs report themselves.
 ///
-/// Leaving is sticky: once an instance is marked, no reading of the list and no other VM makes it live again.
+/// Leaving is final: once an instance is marked as leaving, neither the platform's list nor another VM makes it live again.
 class Members
 {
 public:
     using MarkHandler = std::function<void(const std::string &instance, const LeavingMark &mark)>;
 
-    /// @p self is this VM's own instance. @p clock dates the marks and must outlive the object; without one they have
-    /// no date and are kept for good.
+    /// @p self is this VM's own instance. @p clock gives the time of marks and must outlive the object; without a clock,
+    /// marks carry no time and nothing expires.
     static std::shared_ptr<Members> create(std::string self, const Clock *clock = nullptr);
 
     const std::string &self() const;
-    /// Takes over a reading of the platform's list. A leaving mark set before stays.
+    /// Replaces the listed VMs by what was read from the platform's list. Leaving marks set before stay.
     void applyList(std::span<const Vm> list);
-    /// Adds a VM that the list does not show yet. It is forgotten some minutes later unless the list shows it by then, and
-    /// at once when the heartbeats find that it failed.
+    /// Adds a VM that the list does not show yet. It is removed after some minutes unless the list shows it by then, and at
+    /// once when the heartbeats report it as failed.
     void addProvisional(const Vm &vm);
-    /// Marks an instance as leaving, for good. Says whether that is news.
+    /// Marks an instance as leaving, for good. Returns true if it was not marked before.
     bool markLeaving(const std::string &instance, LeavingSource source = LeavingSource::Notice);
-    /// Takes over a mark that another VM made. Says whether that is news.
+    /// Applies a mark that another VM made. Returns true if the instance was not marked before.
     bool applyRemoteMark(const std::string &instance, LeavingMark mark);
     bool isLeaving(const std::string &instance) const;
     std::optional<LeavingMark> leavingMark(const std::string &instance) const;
     /// The VM of this instance, or null.
     const Vm *find(const std::string &instance) const;
-    /// Live servers of a model or plain service. Those that refuse connections are left out, unless all do.
+    /// The live backend servers of a model or plain service. Unreachable ones are left out, unless all are unreachable.
     std::vector<Vm> backends(VmRole role, std::string_view name) const;
-    /// Entry VMs but this one, also leaving ones.
+    /// The other entry VMs, including leaving ones.
     std::vector<Vm> peers() const;
     const std::map<std::string, Vm> &all() const;
-    /// Calls @p handler after each change of the set or of a mark.
+    /// Calls @p handler after each change of the known VMs or of a leaving mark.
     void onChange(std::function<void()> handler);
-    /// Calls @p handler for each mark made on this VM, to spread it. Marks taken over from others are not reported.
+    /// Calls @p handler for each mark made on this VM, so that it can be published. Not called for marks of other VMs.
     void onLocalMark(MarkHandler handler);
 
-    /// This VM could not connect to a backend server. With the word of another VM it becomes unreachable for a while.
+    /// Reports that this VM could not connect to a backend server. The server becomes unreachable for a while once another
+    /// VM reports the same, or this VM reports it several times; see UnreachableReport.
     void reportUnreachable(const std::string &instance);
-    /// Calls @p handler for each reportUnreachable().
+    /// Calls @p handler for each call of reportUnreachable().
     void onUnreachableReport(std::function<void(const std::string &instance)> handler);
-    /// Leaves a backend server out of backends() until @p until.
+    /// Makes a backend server unreachable until @p until: backends() leaves it out.
     void setUnreachable(const std::string &instance, WallTime until);
     bool isUnreachable(const std::string &instance) const;
     std::size_t unreachableCount() const;
 
-    /// What the heartbeats say about an entry VM; Alive if they said nothing.
+    /// The health of an entry VM as reported by the heartbeats; Alive if nothing was reported.
     Health healthOf(const std::string &instance) const;
     void setHealth(const std::string &instance, Health health);
 
-    /// Forgets what is too old: provisional VMs, and marks of instances that the list has not shown for a day.
+    /// Removes what has expired: provisional VMs, unreachable servers, marks of instances that the list has not shown for a
+    /// day, and the health of VMs that are no longer known.
     void removeExpired();
     std::size_t markCount() const;
 
@@ -71,9 +73,9 @@
         Vm vm;
         WallTime until;
     };
-    struct Mark {
+    struct MarkEntry {
         LeavingMark mark;
-        WallTime lastListed;
+        WallTime lastListed; ///< When the list last showed the instance, or when the mark was made if it has not since.
     };
     Members() = default;
     WallTime now() const;
@@ -86,7 +88,7 @@
     std::map<std::string, Vm> listed_;
     std::map<std::string, Provisional> provisional_;
     std::map<std::string, Vm> vms_; ///< Listed and provisional, with the marks applied.
-    std::map<std::string, Mark> marks_;
+    std::map<std::string, MarkEntry> marks_;
     std::map<std::string, WallTime> unreachable_;
     std::map<std::string, Health> health_;
     std::vector<std::function<void()>> changeHandlers_;
@@ -94,7 +96,7 @@
     std::vector<std::function<void(const std::string &)>> unreachableHandlers_;
 };
 
-/// Where @p vm listens for its peers.
+/// The address at which @p vm listens for its peers.
 peers::PeerAddress peerAddress(const Vm &vm);
 
 } // namespace cardamomlift::membership
--- a/src/membership/membershipgossip.h
+++ b/src/membership/membershipgossip.h
@@ -10,31 +10,32 @@
 
 namespace cardamomlift::membership {
 
-/// One word that a backend server refuses connections; a higher version wins.
+/// A report, spread by gossip, that a backend server refuses connections. Of several reports the highest version wins.
 struct UnreachableReport {
     std::uint64_t version = 0;
     std::string reporter;
-    bool confirmed = false; ///< A second VM, or three refusals: the server is left out until then.
-    WallTime until;
+    bool confirmed = false; ///< By a second VM, or by three refusals on one VM. Only a confirmed report excludes the server.
+    WallTime until; ///< The report is valid, and the server excluded if it is confirmed, until then.
 };
 
-/// What the own refusals of one server add up to.
+/// The connections that one backend server refused to this VM within the refusal window.
 struct LocalRefusals {
     unsigned count = 0;
-    WallTime first;
+    WallTime first; ///< Start of the window.
 };
 
-/// The word this VM spreads after a refusal of its own; none if the held one says as much.
-/// @p held is the latest word about the server, if it has not run out.
+/// The report this VM publishes after a refusal that it saw itself; none if @p held says as much already.
+/// @p held is the latest report about the server, if any.
 std::optional<UnreachableReport> nextUnreachableReport(
     const std::string &self, const LocalRefusals &local, const std::optional<UnreachableReport> &held, WallTime now);
 
-/// Carries leaving marks, newly listed VMs and unreachable servers between Members and the gossip, both ways.
+/// Synchronises Members with the gossip: publishes leaving marks, newly listed VMs and unreachable servers that this VM
+/// learns of, applies those that other VMs publish, and keeps the gossip's neighbours up to date.
 class MembershipGossip
 {
 public:
     static std::shared_ptr<MembershipGossip> create(EventLoop &loop, std::shared_ptr<Members> members, std::shared_ptr<Gossip> gossip);
-    /// Tells the others of a VM that this VM's reading of the list shows for the first time.
+    /// Publishes a VM that this VM saw in the platform's list for the first time.
     void publishListed(const Vm &vm);
 
 private:
--- a/src/membership/membershipmodule.cpp
+++ b/src/membership/membershipmodule.cpp
@@ -16,7 +16,7 @@
 
 constexpr Duration RemoveExpiredPeriod = std::chrono::seconds(30);
 
-Vm selfOf(const settings::Settings &settings, const peers::PeerTransport &transport)
+Vm describeSelf(const settings::Settings &settings, const peers::PeerTransport &transport)
 {
     Vm self;
     self.instance = settings.instance;
@@ -60,7 +60,7 @@
         auto members = Members::create(settings->instance, &loop.clock());
         auto gossip = Gossip::create(loop, transport);
         auto membershipGossip = MembershipGossip::create(loop, members, gossip);
-        auto heartbeat = Heartbeat::create(loop, transport, members, gossip, selfOf(*settings, *transport));
+        auto heartbeat = Heartbeat::create(loop, transport, members, gossip, describeSelf(*settings, *transport));
         auto reports = LoadReports::create(loop);
         auto poller = LoadPoller::create(loop, client, members, reports);
         gossip->start();
@@ -83,20 +83,20 @@
         reader->onFirstSeen([membershipGossip](const Vm &vm) { membershipGossip->publishListed(vm); });
         reader->start();
         context.set(reader);
-        publishCounters(context, reader);
+        addListGauges(context, reader);
         return success();
     }
 
 private:
-    static void publishCounters(const Context &context, const std::shared_ptr<VmListReader> &reader)
+    static void addListGauges(const Context &context, const std::shared_ptr<VmListReader> &reader)
     {
         const auto metrics = context.get<metrics::Metrics>();
-        const auto publish = [&](const char *name, std::uint64_t VmListCounters::*member) {
+        const auto addGauge = [&](const char *name, std::uint64_t VmListCounters::*member) {
             metrics->gauge(name, [reader, member] { return static_cast<double>(reader->counters().*member); });
         };
-        publish("vm_list_reads_total", &VmListCounters::reads);
-        publish("vm_list_bytes_sent_total", &VmListCounters::bytesSent);
-        publish("vm_list_bytes_received_total", &VmListCounters::bytesReceived);
+        addGauge("vm_list_reads_total", &VmListCounters::reads);
+        addGauge("vm_list_bytes_sent_total", &VmListCounters::bytesSent);
+        addGauge("vm_list_bytes_received_total", &VmListCounters::bytesReceived);
     }
 };
 
--- a/src/membership/membershiptypes.h
+++ b/src/membership/membershiptypes.h
@@ -16,19 +16,19 @@
     Service, ///< A backend server that runs a plain service.
 };
 
-/// Where a VM stands in its life.
+/// The lifecycle state of a VM.
 enum class VmState {
     Live,
     Leaving, ///< Reclaim or shutdown was announced. Never goes back to Live for the same instance.
     Gone,
 };
 
-/// One VM as the platform's list or another VM describes it. The instance is its identity; addresses are used again.
+/// One VM as described by the platform's list or by another VM. The instance is its identity; addresses are reused.
 struct Vm {
     std::string instance;
-    std::string address; ///< An IPv4 number.
-    std::uint16_t port = 0; ///< Entry: callers. Backend: its requests.
-    std::uint16_t peerPort = 0; ///< Entry only.
+    std::string address; ///< A numeric IPv4 address.
+    std::uint16_t port = 0; ///< Where an entry VM accepts callers, or a backend server requests.
+    std::uint16_t peerPort = 0; ///< Where an entry VM accepts connections of other entry VMs. Entry only.
     std::string zone;
     std::string region;
     VmRole role = VmRole::Entry;
@@ -36,32 +36,32 @@
     std::vector<std::string> serves; ///< Names of models, or of the one service.
     std::string machineClass;
     std::int64_t microsPerHour = 0; ///< Price, in millionths of the currency.
-    bool reclaimable = true;
-    bool checksFencing = false; ///< The server refuses orders that carry an old fencing number.
+    bool reclaimable = true; ///< The platform may reclaim the VM.
+    bool checksFencing = false; ///< The server refuses orders that carry an outdated fencing token.
 
     bool operator==(const Vm &other) const = default;
 };
 
-/// What showed that a VM is leaving.
+/// How it became known that a VM is leaving.
 enum class LeavingSource {
-    Notice, ///< The VM itself was told, or a part of this daemon says so.
-    List, ///< The platform's list.
+    Notice, ///< The VM itself received a notice, or another module of the daemon reported it.
+    List, ///< The platform's list shows it as leaving.
     Answer, ///< The backend server refused a request because it is leaving.
-    LoadReport, ///< The backend server's load report.
+    LoadReport, ///< The backend server's load report says so.
 };
 
-/// Why a VM counts as leaving. Marks are never taken back.
+/// Why a VM counts as leaving. Marks are never revoked.
 struct LeavingMark {
     LeavingSource source = LeavingSource::Notice;
-    std::string reporter; ///< The entry VM that saw it first.
-    WallTime seen; ///< By the reporter's clock.
+    std::string reporter; ///< The entry VM that made the mark.
+    WallTime seen; ///< When the reporter made it, by its own clock.
     WallTime known; ///< When this VM learned it.
 };
 
-/// What the heartbeats say about an entry VM.
+/// The health of an entry VM as reported by the heartbeats.
 enum class Health {
     Alive,
-    Suspected, ///< Some VM gets no answer, directly or through others.
+    Suspected, ///< Some VM gets no answer from it, neither directly nor through other VMs.
     Failed, ///< Still no answer after the suspicion timeout.
 };
 
--- a/src/membership/memberstatus.h
+++ b/src/membership/memberstatus.h
@@ -6,7 +6,7 @@
 
 namespace cardamomlift::membership {
 
-/// What this VM believes of one VM and who said so, for the operators' status page.
+/// The state of @p vm as known to this VM, and which VM reported it, for the operators' status page.
 Json::Value memberStatus(const Members &members, const Vm &vm);
 
 } // namespace cardamomlift::membership
--- a/src/membership/overlay.h
+++ b/src/membership/overlay.h
@@ -8,12 +8,14 @@
 
 namespace cardamomlift::membership {
 
-/// The most neighbours one entry VM has; its connections to peers do not grow with the fleet.
+/// Upper limit of an entry VM's neighbours, so that its connections to peers do not grow with the fleet.
 inline constexpr std::size_t MaxNeighbours = 8;
 
-/// The entry VMs @p self exchanges heartbeats and gossip with: its successor and predecessor on each of a few rings,
-/// where a ring is all entry VMs sorted by a hash of their instance. Mutual when both sides know the same VMs; a VM that
-/// comes or goes changes the two beside it on each ring. VMs that are Gone do not count.
+/// The neighbours of @p self in the overlay network: the entry VMs it exchanges heartbeats and gossip with. If there are at
+/// most MaxNeighbours other entry VMs, these are all of them. Otherwise they are its predecessor and successor on each of a
+/// few rings; a ring is all entry VMs sorted by a hash of their instance, salted per ring. The relation is mutual if both
+/// sides know the same VMs. A VM that joins or goes changes the neighbours of the two VMs next to it on each ring. VMs in
+/// the state Gone are ignored.
 std::vector<std::string> chooseNeighbours(std::span<const Vm> entries, const std::string &self);
 
 } // namespace cardamomlift::membership
--- a/src/membership/vmlist.h
+++ b/src/membership/vmlist.h
@@ -13,33 +13,34 @@
 
 namespace cardamomlift::membership {
 
-/// One entry of the platform's list. Empty if a member is missing or has the wrong type.
+/// Parses one entry of the platform's list. Empty if a required field is missing or has the wrong type, or if the role or
+/// state is unknown.
 std::optional<Vm> vmFromJson(const Json::Value &json);
 Json::Value vmToJson(const Vm &vm);
 
-/// Readings of the list, for docs/CAPACITY.md.
+/// Counters of the requests for the platform's list, for docs/CAPACITY.md.
 struct VmListCounters {
     std::uint64_t reads = 0;
-    std::uint64_t bytesSent = 0; ///< Whole HTTP exchanges.
+    std::uint64_t bytesSent = 0; ///< Of the whole HTTP exchanges, including headers.
     std::uint64_t bytesReceived = 0;
 };
 
-/// How long one VM waits between two readings of the list. All @p entries VMs together read it about four times a second,
-/// whatever their number, and tell each other what is new.
+/// The nominal interval between two reads of the list by one VM. All @p entries entry VMs together read it about four times a
+/// second, whatever their number, within limits for very small and very large fleets; they publish new VMs to each other.
 Duration listReadInterval(std::size_t entries);
-/// The wait of VM @p self after its reading number @p reading, from 1. Differs from VM to VM, so that VMs that were all started
-/// at once don't read all at once.
+/// The delay of VM @p self after its read number @p readNumber, counted from 1. It differs from VM to VM, so that VMs that
+/// were started at the same time do not read at the same time.
 Duration listReadDelay(std::size_t entries, const std::string &self, std::uint64_t readNumber);
 
-/// Reads the platform's list of VMs again and again into Members.
+/// Periodically reads the platform's list of VMs into Members.
 class VmListReader
 {
 public:
     static std::shared_ptr<VmListReader> create(EventLoop &loop, std::shared_ptr<http::Client> client, std::shared_ptr<Members> members, std::string endpoint);
     void start();
-    /// Calls @p handler for each VM that a reading shows for the first time, but not for those of the first reading.
+    /// Sets the handler to call for each VM that the list shows and Members does not know yet, except in the first read.
     void onFirstSeen(std::function<void(const Vm &vm)> handler);
-    /// True after the first whole reading.
+    /// True after the first successful read.
     bool hasRead() const;
     const VmListCounters &counters() const;
 
--- a/src/membership/wirevm.h
+++ b/src/membership/wirevm.h
@@ -8,9 +8,9 @@
 class Vm;
 }
 
-/// Fills @p out with what another VM needs to know of @p vm.
+/// Fills @p out with the description of @p vm for other VMs. The state is not part of it.
 void vmToWire(const Vm &vm, wire::Vm &out);
-/// A live VM; its role is Entry if the number is unknown.
+/// Converts a description back. The VM's state is Live; its role is Entry if the received value is unknown.
 Vm vmFromWire(const wire::Vm &in);
 
 } // namespace cardamomlift::membership
