--- a/src/streams/copysender.h
+++ b/src/streams/copysender.h
@@ -13,16 +13,16 @@
 
 namespace cardamomlift::streams {
 
-/// How a copy that was sent to a VM ended.
+/// Outcome of sending a copy to a VM.
 enum class CopyResult {
     Stored,
-    RefusedAsLeaving, ///< That VM is going away itself.
+    RefusedAsLeaving, ///< The target is leaving itself.
     Unanswered,
-    Superseded, ///< Another VM took the request over, as that VM knows.
+    Superseded, ///< The target knows that another VM has taken the request over.
 };
 
-/// Sends copies of requests, and the word that a copy is no longer needed, to other entry VMs. What goes to one VM
-/// within a few milliseconds goes in one call; a call is bounded in bytes.
+/// Sends copies of requests, and notices that a copy is no longer needed (drops), to other entry VMs. Batches the messages to
+/// one VM for a few milliseconds; the size of a batch is bounded.
 class CopySender : public std::enable_shared_from_this<CopySender>
 {
 public:
@@ -30,27 +30,27 @@
 
     static std::shared_ptr<CopySender> create(EventLoop &loop, std::shared_ptr<peers::PeerTransport> transport, std::shared_ptr<metrics::Metrics> metrics);
 
-    void copy(const peers::PeerAddress &target, const StreamState &state, const std::string &owner, Done done);
-    /// Tells @p target to forget the copy unless it has a newer owner than @p generation. Sent again a few times.
-    void drop(const peers::PeerAddress &target, const std::string &requestId, std::uint64_t generation);
-    /// From now on calls say that this VM is leaving.
+    void sendCopy(const peers::PeerAddress &target, const StreamState &state, const std::string &owner, Done done);
+    /// Tells @p target to delete its copy, unless the copy is of a later generation than @p generation. Retried a few times.
+    void sendDrop(const peers::PeerAddress &target, const std::string &requestId, std::uint64_t generation);
+    /// All further calls tell the receiver that this VM is leaving.
     void setLeaving();
-    /// Calls not yet answered, and those waiting to be sent.
+    /// Number of calls in flight, plus batches not yet sent.
     std::size_t openCount() const;
 
 private:
     struct Batch;
     CopySender() = default;
     Batch &batchFor(const peers::PeerAddress &target);
-    void addDrop(Batch &batch, const std::string &requestId, std::uint64_t generation, int tries);
+    void addDrop(Batch &batch, const std::string &requestId, std::uint64_t generation, int attempt);
     void flush(const std::string &instance);
     void send(const std::shared_ptr<Batch> &batch);
-    void sendDropsAgain(const Batch &batch);
+    void retryDrops(const Batch &batch);
     EventLoop *loop_ = nullptr;
     std::shared_ptr<peers::PeerTransport> transport_;
     std::shared_ptr<metrics::Metrics> metrics_;
-    std::unordered_map<std::string, std::shared_ptr<Batch>> waiting_; ///< By target instance.
-    std::size_t underWay_ = 0;
+    std::unordered_map<std::string, std::shared_ptr<Batch>> queued_; ///< Not yet sent, by target instance.
+    std::size_t callsInFlight_ = 0;
     bool isLeaving_ = false;
 };
 
--- a/src/streams/internal/streamdecision.cpp
+++ b/src/streams/internal/streamdecision.cpp
@@ -13,7 +13,7 @@
 namespace {
 
 constexpr char Separator = '~';
-constexpr std::size_t IdParts = 4;
+constexpr std::size_t IdPartCount = 4;
 constexpr std::string_view IdPrefix = "req-";
 
 std::vector<std::string> split(std::string_view text)
@@ -29,18 +29,19 @@
     }
 }
 
-/// One candidate to hold copies, with what orders it.
+/// A candidate to hold copies, with its sort keys.
 struct Candidate {
-    int distance = 0; ///< 0: best.
-    std::uint64_t weight = 0;
+    int distance = 0; ///< 0 is best.
+    std::uint64_t weight = 0; ///< Rendezvous hash of home and candidate.
     std::string instance;
 };
 
-/// Of two owners the one with the higher precedence stays. NOTE Two VMs can become owners of the same generation, one by
-/// the home and one by the holder of the copy; without an order between them each could make the other stop.
-std::pair<std::uint64_t, std::string_view> precedence(const Holding &holding)
+/// Of two owners, the one with the higher precedence stays. NOTE Two VMs can become owners with the same generation, one
+/// through the home VM and one through the holder of the copy. The owner's name breaks the tie; without it, each could make the
+/// other stop.
+std::pair<std::uint64_t, std::string_view> precedence(const ReplicaInfo &info)
 {
-    return {holding.generation, holding.owner};
+    return {info.generation, info.owner};
 }
 
 } // namespace
@@ -53,13 +54,13 @@
 std::optional<RequestIdParts> parseRequestId(std::string_view requestId)
 {
     const auto parts = split(requestId);
-    if (!requestId.starts_with(IdPrefix) || parts.size() != IdParts || parts[1].empty()) {
+    if (!requestId.starts_with(IdPrefix) || parts.size() != IdPartCount || parts[1].empty()) {
         return std::nullopt;
     }
     return RequestIdParts{parts[1], parts[2], parts[3]};
 }
 
-std::vector<std::string> rankHolders(std::string_view home, std::string_view homeZone, std::span<const membership::Vm> entries)
+std::vector<std::string> rankCopyHolders(std::string_view home, std::string_view homeZone, std::span<const membership::Vm> entries)
 {
     std::string region;
     for (const membership::Vm &vm : entries) {
@@ -87,53 +88,53 @@
     return ranked;
 }
 
-TakeDecision decideTake(const Holding *mine, bool isTaking, const TakeQuestion &question)
+TakeoverDecision decideTakeover(const ReplicaInfo *local, bool isTakingOver, const TakeoverRequest &request)
 {
-    if (isTaking) {
-        return {TakeVerdict::Busy, {}};
+    if (isTakingOver) {
+        return {TakeoverVerdict::Busy, {}};
     }
-    if (!mine) {
-        return {TakeVerdict::Unknown, {}};
+    if (!local) {
+        return {TakeoverVerdict::Unknown, {}};
     }
-    const bool ownerIsOut = std::find(question.withoutIt.begin(), question.withoutIt.end(), mine->owner) != question.withoutIt.end();
-    if (mine->role == Role::Owner || mine->owner == question.asker || ownerIsOut) {
-        return {TakeVerdict::Give, {}};
+    const bool isOwnerExcluded = std::find(request.excluded.begin(), request.excluded.end(), local->owner) != request.excluded.end();
+    if (local->role == ReplicaRole::Owner || local->owner == request.requester || isOwnerExcluded) {
+        return {TakeoverVerdict::HandOver, {}};
     }
-    return {TakeVerdict::AskOther, mine->owner};
+    return {TakeoverVerdict::Redirect, local->owner};
 }
 
-Holding afterGive(const Holding &mine, const std::string &asker)
+ReplicaInfo afterHandover(const ReplicaInfo &local, const std::string &requester)
 {
-    Holding left = mine;
-    left.role = Role::Copy;
-    if (mine.role == Role::Owner || mine.owner != asker) {
-        left.generation++;
+    ReplicaInfo after = local;
+    after.role = ReplicaRole::Copy;
+    if (local.role == ReplicaRole::Owner || local.owner != requester) {
+        after.generation++;
     }
-    left.owner = asker;
-    return left;
+    after.owner = requester;
+    return after;
 }
 
-bool isNewer(const Holding *mine, const Holding &offered)
+bool isNewer(const ReplicaInfo *local, const ReplicaInfo &offered)
 {
-    if (!mine || precedence(offered) > precedence(*mine)) {
+    if (!local || precedence(offered) > precedence(*local)) {
         return true;
     }
-    return precedence(offered) == precedence(*mine) && mine->role == Role::Copy && offered.tokens >= mine->tokens;
+    return precedence(offered) == precedence(*local) && local->role == ReplicaRole::Copy && offered.tokens >= local->tokens;
 }
 
-std::string ownerToNotify(const Holding *replaced, const Holding &stored)
+std::string ownerToNotify(const ReplicaInfo *replaced, const ReplicaInfo &stored)
 {
-    // The first owner, the home, is notified by the new owner itself.
-    const bool wasMoved = replaced && replaced->role == Role::Copy && replaced->generation > 1;
+    // The first owner, the home VM, is notified by the new owner itself.
+    const bool wasMoved = replaced && replaced->role == ReplicaRole::Copy && replaced->generation > 1;
     return wasMoved && replaced->owner != stored.owner ? replaced->owner : std::string();
 }
 
-bool isSuperseded(const Holding *mine, const Holding &offered)
+bool isSuperseded(const ReplicaInfo *local, const ReplicaInfo &offered)
 {
-    return mine && mine->owner != offered.owner && precedence(*mine) > precedence(offered);
+    return local && local->owner != offered.owner && precedence(*local) > precedence(offered);
 }
 
-TakeSearch::TakeSearch(std::string self, std::vector<std::string> candidates)
+TakeoverSearch::TakeoverSearch(std::string self, std::vector<std::string> candidates)
     : self_(std::move(self))
 {
     for (std::string &candidate : candidates) {
@@ -144,47 +145,47 @@
     }
 }
 
-std::optional<std::string> TakeSearch::next()
+std::optional<std::string> TakeoverSearch::next()
 {
-    if (queue_.empty() || questions_ >= MostQuestions) {
+    if (queue_.empty() || queries_ >= MaxQueries) {
         return std::nullopt;
     }
-    questions_++;
+    queries_++;
     std::string instance = std::move(queue_.front());
     queue_.erase(queue_.begin());
     return instance;
 }
 
-void TakeSearch::hasNothing(const std::string &instance)
+void TakeoverSearch::exclude(const std::string &instance)
 {
-    if (!isWithoutIt(instance)) {
-        withoutIt_.push_back(instance);
+    if (!isExcluded(instance)) {
+        excluded_.push_back(instance);
     }
 }
 
-void TakeSearch::isRedirected(const std::string &instance, const std::string &owner)
+void TakeoverSearch::redirect(const std::string &instance, const std::string &owner)
 {
     redirected_.insert(instance);
     if (redirected_.contains(owner)) {
-        // The VMs point at each other, since a message between them was lost; what this one named is not the owner.
-        hasNothing(owner);
+        // Two VMs name each other, since a message between them was lost: the VM named here is not the owner.
+        exclude(owner);
     }
-    // The owner first; if it turns out to have nothing, the VM that sent us on again: it then gives its copy.
+    // Query the owner next. If it does not have the request, query the VM that redirected us again: it then hands over its copy.
     std::erase_if(queue_, [&](const std::string &queued) { return queued == owner || queued == instance; });
     queue_.insert(queue_.begin(), instance);
-    if (!isWithoutIt(owner)) {
+    if (!isExcluded(owner)) {
         queue_.insert(queue_.begin(), owner);
     }
 }
 
-const std::vector<std::string> &TakeSearch::withoutIt() const
+const std::vector<std::string> &TakeoverSearch::excluded() const
 {
-    return withoutIt_;
+    return excluded_;
 }
 
-bool TakeSearch::isWithoutIt(const std::string &instance) const
+bool TakeoverSearch::isExcluded(const std::string &instance) const
 {
-    return std::find(withoutIt_.begin(), withoutIt_.end(), instance) != withoutIt_.end();
+    return std::find(excluded_.begin(), excluded_.end(), instance) != excluded_.end();
 }
 
 } // namespace cardamomlift::streams
--- a/src/streams/internal/streamregistry.cpp
+++ b/src/streams/internal/streamregistry.cpp
@@ -14,10 +14,10 @@
 
 namespace {
 
-constexpr std::size_t IdBytes = 6;
-constexpr std::size_t MostPlaces = 3; ///< VMs tried for one copy.
+constexpr std::size_t RandomIdBytes = 6;
+constexpr std::size_t MaxCopyTargets = 3; ///< VMs tried for one copy before giving up.
 constexpr Duration SweepPeriod = std::chrono::seconds(1);
-constexpr Duration AvoidFailedHolder = std::chrono::seconds(5);
+constexpr Duration FailedHolderCooldown = std::chrono::seconds(5); ///< A VM that failed to store a copy is ranked last for so long.
 
 } // namespace
 
@@ -57,12 +57,12 @@
 
 std::string StreamRegistry::newRequestId()
 {
-    const auto ranked = holders({self_, tools_.zone, {}});
-    const std::string unique = fmt::format("{}{}", text::randomHex(IdBytes), nextNumber_++);
+    const auto ranked = rankedHolders({self_, tools_.zone, {}});
+    const std::string unique = fmt::format("{}{}", text::randomHex(RandomIdBytes), nextNumber_++);
     return makeRequestId(unique, {self_, tools_.zone, ranked.empty() ? std::string() : ranked.front()});
 }
 
-std::vector<std::string> StreamRegistry::holders(const RequestIdParts &id) const
+std::vector<std::string> StreamRegistry::rankedHolders(const RequestIdParts &id) const
 {
     std::vector<membership::Vm> entries;
     for (const auto &[instance, vm] : tools_.session.members->all()) {
@@ -70,9 +70,9 @@
             entries.push_back(vm);
         }
     }
-    auto ranked = rankHolders(id.home, id.homeZone, entries);
+    auto ranked = rankCopyHolders(id.home, id.homeZone, entries);
     std::erase(ranked, self_);
-    // A VM that did not answer a moment ago comes last.
+    // VMs that recently failed to store a copy come last.
     const TimePoint now = tools_.session.loop->now();
     std::stable_partition(ranked.begin(), ranked.end(), [&](const std::string &instance) {
         const auto failed = failedHolders_.find(instance);
@@ -81,17 +81,17 @@
     return ranked;
 }
 
-StreamRegistry::EntryPtr StreamRegistry::add(StreamState state)
+StreamRegistry::EntryPtr StreamRegistry::addSession(StreamState state)
 {
     removeEntry(state.requestId);
     auto entry = std::make_shared<Entry>();
     entry->requestId = state.requestId;
     entry->customer = state.customer;
     entry->owner = self_;
-    entry->since = tools_.session.loop->now();
+    entry->roleSince = tools_.session.loop->now();
     entry->session = StreamSession::create(tools_.session, std::move(state));
     entries_[entry->requestId] = entry;
-    // The copy must name the stream that a new owner can join.
+    // The copy must name the engine's stream that a new owner can resume.
     entry->session->onNewAttempt([this, weak = std::weak_ptr<Entry>(entry)] {
         const EntryPtr current = weak.lock();
         if (current && current->session) {
@@ -103,15 +103,15 @@
 
 std::shared_ptr<StreamSession> StreamRegistry::open(StreamState state, std::function<void()> onAccepted)
 {
-    const EntryPtr entry = add(std::move(state));
-    // NOTE Before the copy, which then names the first attempt.
+    const EntryPtr entry = addSession(std::move(state));
+    // NOTE Starts before the copy is sent, so that the copy names the first attempt.
     entry->session->start();
     if (entry->session->hasEnded()) {
         tools_.session.loop->post(std::move(onAccepted));
         return entry->session;
     }
     placeCopy(entry, [this, entry, onAccepted = std::move(onAccepted)](bool stored) {
-        tools_.session.metrics->observe("copy_seconds", tools_.session.loop->now() - entry->since);
+        tools_.session.metrics->observe("copy_seconds", tools_.session.loop->now() - entry->roleSince);
         if (!stored) {
             tools_.session.metrics->add("copies_missing_total");
         }
@@ -122,14 +122,14 @@
 
 void StreamRegistry::placeCopy(const EntryPtr &entry, std::function<void(bool stored)> done)
 {
-    auto targets = holders(parseRequestId(entry->requestId).value_or(RequestIdParts()));
+    auto targets = rankedHolders(parseRequestId(entry->requestId).value_or(RequestIdParts()));
     std::erase(targets, entry->owner);
-    targets.resize(std::min(targets.size(), MostPlaces));
+    targets.resize(std::min(targets.size(), MaxCopyTargets));
     entry->copiedAt = tools_.session.loop->now();
-    tryPlace(entry, std::move(targets), std::move(done));
+    tryPlaceCopy(entry, std::move(targets), std::move(done));
 }
 
-void StreamRegistry::tryPlace(const EntryPtr &entry, std::vector<std::string> targets, std::function<void(bool stored)> done)
+void StreamRegistry::tryPlaceCopy(const EntryPtr &entry, std::vector<std::string> targets, std::function<void(bool stored)> done)
 {
     auto &members = *tools_.session.members;
     const membership::Vm *vm = nullptr;
@@ -146,9 +146,9 @@
     }
     const peers::PeerAddress target = membership::peerAddress(*vm);
     targets.erase(targets.begin());
-    sender_->copy(target, entry->state(), entry->owner, [this, entry, target, targets, done](CopyResult result) {
+    sender_->sendCopy(target, entry->state(), entry->owner, [this, entry, target, targets, done](CopyResult result) {
         if (result == CopyResult::Stored) {
-            entry->addPlace(target.instance);
+            entry->addCopyHolder(target.instance);
             done(true);
             return;
         }
@@ -162,8 +162,8 @@
         if (result == CopyResult::RefusedAsLeaving) {
             tools_.session.members->markLeaving(target.instance);
         }
-        failedHolders_[target.instance] = tools_.session.loop->now() + AvoidFailedHolder;
-        tryPlace(entry, targets, done);
+        failedHolders_[target.instance] = tools_.session.loop->now() + FailedHolderCooldown;
+        tryPlaceCopy(entry, targets, done);
     });
 }
 
@@ -192,35 +192,35 @@
 {
     const std::string &requestId = copy.state().request_id();
     const auto found = entries_.find(requestId);
-    const Holding offered{Role::Copy, copy.owner(), copy.state().generation(), static_cast<std::uint64_t>(copy.state().tokens_size())};
+    const ReplicaInfo offered{ReplicaRole::Copy, copy.owner(), copy.state().generation(), static_cast<std::uint64_t>(copy.state().tokens_size())};
     const bool isKnown = found != entries_.end();
-    const Holding mine = isKnown ? found->second->holding() : Holding();
-    if (isSuperseded(isKnown ? &mine : nullptr, offered)) {
+    const ReplicaInfo local = isKnown ? found->second->info() : ReplicaInfo();
+    if (isSuperseded(isKnown ? &local : nullptr, offered)) {
         reply.add_superseded(requestId);
         return;
     }
     const bool isOwner = isKnown && found->second->session;
-    if (!isNewer(isKnown ? &mine : nullptr, offered) || (isLeaving_ && !isOwner)) {
+    if (!isNewer(isKnown ? &local : nullptr, offered) || (isLeaving_ && !isOwner)) {
         return;
     }
     if (isOwner) {
-        // Another VM took it over, though this one still drives it: the newer owner reads the engine's stream now.
+        // Another VM has taken over a request that this VM still runs: the newer owner reads the engine's stream now.
         found->second->session->handOver();
-        found->second->places.clear();
+        found->second->copyHolders.clear();
     }
     removeEntry(requestId);
     auto entry = std::make_shared<Entry>();
     entry->requestId = requestId;
     entry->customer = copy.state().customer();
     entry->owner = copy.owner();
-    entry->since = tools_.session.loop->now();
+    entry->roleSince = tools_.session.loop->now();
     entry->copy = readState(copy.state());
     entry->bytes = copy.ByteSizeLong();
     copyBytes_ += entry->bytes;
     entries_[requestId] = entry;
-    const std::string notified = ownerToNotify(isKnown ? &mine : nullptr, offered);
-    if (const membership::Vm *vm = tools_.session.members->find(notified)) {
-        sender_->copy(membership::peerAddress(*vm), entry->copy, entry->owner, [](CopyResult) {});
+    const std::string notifiedOwner = ownerToNotify(isKnown ? &local : nullptr, offered);
+    if (const membership::Vm *vm = tools_.session.members->find(notifiedOwner)) {
+        sender_->sendCopy(membership::peerAddress(*vm), entry->copy, entry->owner, [](CopyResult) {});
     }
 }
 
@@ -235,39 +235,39 @@
 
 std::string StreamRegistry::onTake(const std::string &from, const std::string &payload)
 {
-    wire::Take question;
+    wire::Take request;
     wire::TakeReply reply;
-    if (!question.ParseFromString(payload)) {
+    if (!request.ParseFromString(payload)) {
         return reply.SerializeAsString();
     }
-    const auto found = entries_.find(question.request_id());
-    const bool isKnown = found != entries_.end() && found->second->customer == question.customer();
-    const Holding mine = isKnown ? found->second->holding() : Holding();
-    const std::vector<std::string> withoutIt(question.without_it().begin(), question.without_it().end());
-    const TakeDecision decision = decideTake(isKnown ? &mine : nullptr, searches_.contains(question.request_id()), {from, withoutIt});
-    if (decision.verdict == TakeVerdict::Give) {
+    const auto found = entries_.find(request.request_id());
+    const bool isKnown = found != entries_.end() && found->second->customer == request.customer();
+    const ReplicaInfo local = isKnown ? found->second->info() : ReplicaInfo();
+    const std::vector<std::string> excluded(request.without_it().begin(), request.without_it().end());
+    const TakeoverDecision decision = decideTakeover(isKnown ? &local : nullptr, searches_.contains(request.request_id()), {from, excluded});
+    if (decision.verdict == TakeoverVerdict::HandOver) {
         reply.set_verdict(wire::TakeReply::GIVEN);
-        writeState(give(found->second, from), *reply.mutable_state());
-    } else if (decision.verdict == TakeVerdict::AskOther) {
+        writeState(transferOwnership(found->second, from), *reply.mutable_state());
+    } else if (decision.verdict == TakeoverVerdict::Redirect) {
         reply.set_verdict(wire::TakeReply::ASK_OTHER);
-        reply.set_other(decision.other);
-    } else if (decision.verdict == TakeVerdict::Busy) {
+        reply.set_other(decision.owner);
+    } else if (decision.verdict == TakeoverVerdict::Busy) {
         reply.set_verdict(wire::TakeReply::BUSY);
     }
     return reply.SerializeAsString();
 }
 
-StreamState StreamRegistry::give(const EntryPtr &entry, const std::string &asker)
+StreamState StreamRegistry::transferOwnership(const EntryPtr &entry, const std::string &requester)
 {
-    const Holding left = afterGive(entry->holding(), asker);
+    const ReplicaInfo after = afterHandover(entry->info(), requester);
     if (entry->session) {
         const auto session = std::exchange(entry->session, nullptr);
         entry->copy = session->state();
         session->handOver();
     }
-    entry->copy.generation = left.generation;
-    entry->owner = left.owner;
-    entry->since = tools_.session.loop->now();
+    entry->copy.generation = after.generation;
+    entry->owner = after.owner;
+    entry->roleSince = tools_.session.loop->now();
     tools_.session.metrics->add("requests_given_total");
     return entry->copy;
 }
@@ -282,28 +282,28 @@
     entry->session->detach();
     entry->detachedAt = tools_.session.loop->now();
     if (isLeaving_) {
-        sendOn(entry);
+        handOverEntry(entry);
     }
 }
 
-// Nobody reads a detached session here any more, so the copy's holder may have it.
-void StreamRegistry::sendOn(const EntryPtr &entry)
+// Once the copy is stored, a session without a reader is ended here: a caller that resumes finds the copy.
+void StreamRegistry::handOverEntry(const EntryPtr &entry)
 {
-    sendingOn_++;
+    handoverCopiesInFlight_++;
     placeCopy(entry, [this, entry](bool stored) {
         if (stored && entry->session && entry->session->isDetached()) {
             entry->session->handOver();
         }
-        onSentOn(stored);
+        onHandoverCopyDone(stored);
     });
 }
 
-void StreamRegistry::onSentOn(bool stored)
+void StreamRegistry::onHandoverCopyDone(bool stored)
 {
-    sendingOn_--;
-    sentOn_ += stored ? 1 : 0;
-    if (sendingOn_ == 0) {
-        partLogger("streams")->info("Handed over. copies={}", sentOn_);
+    handoverCopiesInFlight_--;
+    handoverCopiesStored_ += stored ? 1 : 0;
+    if (handoverCopiesInFlight_ == 0) {
+        partLogger("streams")->info("Handed over. copies={}", handoverCopiesStored_);
     }
 }
 
@@ -317,7 +317,7 @@
         const membership::Vm *owner = tools_.session.members->find(entry->owner);
         const bool isOwnerThere = owner && !tools_.session.members->isLeaving(entry->owner);
         if (entry->session || !isOwnerThere) {
-            sendOn(entry);
+            handOverEntry(entry);
             count++;
         }
     }
@@ -331,16 +331,16 @@
         if (!entry->session || entry->session->hasEnded()) {
             continue;
         }
-        sendingOn_++;
+        handoverCopiesInFlight_++;
         placeCopy(entry, [this, entry](bool stored) {
             if (!stored) {
                 tools_.session.metrics->add("requests_cut_total");
-                partLogger("streams")->error("A request is cut: no VM takes it. request={}", entry->requestId);
+                partLogger("streams")->error("No VM stored a copy of the request; its stream is cut off. request={}", entry->requestId);
             }
             if (entry->session) {
                 entry->session->handOver();
             }
-            onSentOn(stored);
+            onHandoverCopyDone(stored);
         });
     }
 }
--- a/src/streams/internal/streamregistryentry.h
+++ b/src/streams/internal/streamregistryentry.h
@@ -7,45 +7,45 @@
 
 namespace cardamomlift::streams {
 
-/// What this VM has of one request: a session if it is the owner, else a copy.
+/// A request on this VM: a session if this VM is the owner, otherwise a copy.
 struct StreamRegistry::Entry {
     std::string requestId;
     std::string customer;
     std::shared_ptr<StreamSession> session;
-    StreamState copy; ///< Without a session.
+    StreamState copy; ///< Valid only without a session.
     std::string owner;
-    std::vector<std::string> places; ///< VMs that have a copy of this session.
-    std::size_t bytes = 0; ///< Of the copy.
-    TimePoint since;
-    TimePoint copiedAt;
+    std::vector<std::string> copyHolders; ///< VMs that hold a copy of this session.
+    std::size_t bytes = 0; ///< Size of the copy.
+    TimePoint roleSince; ///< When this VM became the owner, or received the copy, or handed the request over.
+    TimePoint copiedAt; ///< When a copy was last sent to another VM.
     TimePoint detachedAt;
     std::optional<TimePoint> endedAt;
-    std::optional<TimePoint> orphanAt; ///< Since when the owner of a copy is not in the list of VMs.
+    std::optional<TimePoint> ownerMissingSince; ///< Since when the owner of the copy has been missing from the list of VMs.
 
     const StreamState &state() const
     {
         return session ? session->state() : copy;
     }
 
-    Holding holding() const
+    ReplicaInfo info() const
     {
-        return {session ? Role::Owner : Role::Copy, owner, state().generation, state().tokens.size()};
+        return {session ? ReplicaRole::Owner : ReplicaRole::Copy, owner, state().generation, state().tokens.size()};
     }
 
-    void addPlace(const std::string &instance)
+    void addCopyHolder(const std::string &instance)
     {
-        if (std::find(places.begin(), places.end(), instance) == places.end()) {
-            places.push_back(instance);
+        if (std::find(copyHolders.begin(), copyHolders.end(), instance) == copyHolders.end()) {
+            copyHolders.push_back(instance);
         }
     }
 };
 
-/// One search for a request, over several VMs.
+/// A search for a request at several VMs.
 struct StreamRegistry::Search {
     std::string requestId;
     std::string customer;
-    TakeSearch search;
-    bool someDidNotAnswer = false;
+    TakeoverSearch search;
+    bool hasUnansweredQuery = false; ///< A VM that is not leaving did not answer.
 };
 
 } // namespace cardamomlift::streams
--- a/src/streams/internal/streamregistryretention.cpp
+++ b/src/streams/internal/streamregistryretention.cpp
@@ -1,4 +1,4 @@
-// How long a StreamRegistry keeps its entries, and when it places a copy anew.
+// Retention of a StreamRegistry's entries, and replacement of lost or outdated copies.
 
 #include "streams/streamregistry.h"
 
@@ -12,12 +12,12 @@
 
 namespace {
 
-constexpr Duration ResumeWindow = std::chrono::seconds(10); ///< After its caller was lost, a request runs on for so long.
-constexpr Duration KeepEnded = std::chrono::seconds(10);
-constexpr std::size_t MostEnded = 1000;
-constexpr Duration KeepOrphan = std::chrono::minutes(5); ///< A copy whose owner is gone.
-constexpr Duration KeepCopy = std::chrono::minutes(15);
-constexpr Duration CopyAgain = std::chrono::minutes(5);
+constexpr Duration ResumeWindow = std::chrono::seconds(10); ///< How long a request continues after its caller disconnected.
+constexpr Duration EndedRetention = std::chrono::seconds(10); ///< How long an ended session is kept.
+constexpr std::size_t MaxEnded = 1000; ///< Ended sessions kept at once.
+constexpr Duration OrphanRetention = std::chrono::minutes(5); ///< How long a copy is kept after its owner is gone.
+constexpr Duration CopyRetention = std::chrono::minutes(15); ///< How long a copy is kept without a refresh.
+constexpr Duration CopyRefreshInterval = std::chrono::minutes(5);
 
 } // namespace
 
@@ -27,17 +27,18 @@
         return;
     }
     auto &members = *tools_.session.members;
-    std::vector<EntryPtr> unsafe;
+    std::vector<EntryPtr> uncopied;
     for (const auto &[id, entry] : entries_) {
-        const bool isOpen = entry->session && !entry->session->hasEnded() && !entry->places.empty();
-        const bool isHeld =
-            std::any_of(entry->places.begin(), entry->places.end(), [&](const std::string &place) { return members.find(place) && !members.isLeaving(place); });
-        if (isOpen && !isHeld) {
-            unsafe.push_back(entry);
+        const bool isOpen = entry->session && !entry->session->hasEnded() && !entry->copyHolders.empty();
+        const bool hasCopy = std::any_of(entry->copyHolders.begin(), entry->copyHolders.end(), [&](const std::string &holder) {
+            return members.find(holder) && !members.isLeaving(holder);
+        });
+        if (isOpen && !hasCopy) {
+            uncopied.push_back(entry);
         }
     }
-    for (const EntryPtr &entry : unsafe) {
-        entry->places.clear();
+    for (const EntryPtr &entry : uncopied) {
+        entry->copyHolders.clear();
         tools_.session.metrics->add("copies_moved_total");
         placeCopy(entry, [](bool) {});
     }
@@ -46,27 +47,27 @@
 void StreamRegistry::sweep()
 {
     const TimePoint now = tools_.session.loop->now();
-    std::vector<std::string> over;
+    std::vector<std::string> expired;
     std::vector<EntryPtr> stale;
     for (const auto &[id, entry] : entries_) {
-        if (isOver(*entry, now)) {
-            over.push_back(id);
-        } else if (entry->session && !entry->session->hasEnded() && now - entry->copiedAt > CopyAgain) {
+        if (isExpired(*entry, now)) {
+            expired.push_back(id);
+        } else if (entry->session && !entry->session->hasEnded() && now - entry->copiedAt > CopyRefreshInterval) {
             stale.push_back(entry);
         }
     }
-    for (const std::string &id : over) {
+    for (const std::string &id : expired) {
         removeEntry(id);
     }
-    boundEnded();
+    trimEndedSessions();
     for (const EntryPtr &entry : stale) {
         placeCopy(entry, [](bool) {});
     }
     std::erase_if(failedHolders_, [&](const auto &item) { return item.second < now; });
 }
 
-// Under a high rate answers that ended are kept for a shorter time.
-void StreamRegistry::boundEnded()
+// At a high request rate, ended sessions are kept for less than EndedRetention.
+void StreamRegistry::trimEndedSessions()
 {
     std::vector<std::pair<TimePoint, std::string>> ended;
     for (const auto &[id, entry] : entries_) {
@@ -74,31 +75,31 @@
             ended.emplace_back(*entry->endedAt, id);
         }
     }
-    if (ended.size() <= MostEnded) {
+    if (ended.size() <= MaxEnded) {
         return;
     }
     std::sort(ended.begin(), ended.end());
-    ended.resize(ended.size() - MostEnded);
+    ended.resize(ended.size() - MaxEnded);
     for (const auto &[endedAt, id] : ended) {
         removeEntry(id);
     }
 }
 
-bool StreamRegistry::isOver(Entry &entry, TimePoint now)
+bool StreamRegistry::isExpired(Entry &entry, TimePoint now)
 {
     if (entry.session && entry.session->hasEnded()) {
         entry.endedAt = entry.endedAt.value_or(now);
-        return now - *entry.endedAt > KeepEnded;
+        return now - *entry.endedAt > EndedRetention;
     }
     if (entry.session) {
         return entry.session->isDetached() && now - entry.detachedAt > ResumeWindow;
     }
     if (tools_.session.members->find(entry.owner)) {
-        entry.orphanAt.reset();
-        return now - entry.since > KeepCopy;
+        entry.ownerMissingSince.reset();
+        return now - entry.roleSince > CopyRetention;
     }
-    entry.orphanAt = entry.orphanAt.value_or(now);
-    return now - *entry.orphanAt > KeepOrphan;
+    entry.ownerMissingSince = entry.ownerMissingSince.value_or(now);
+    return now - *entry.ownerMissingSince > OrphanRetention;
 }
 
 void StreamRegistry::removeEntry(const std::string &requestId)
@@ -117,18 +118,18 @@
         tools_.session.metrics->add("callers_lost_total");
         entry->session->cancel();
     }
-    for (const std::string &place : entry->places) {
-        if (const membership::Vm *vm = tools_.session.members->find(place)) {
-            sender_->drop(membership::peerAddress(*vm), requestId, entry->session->state().generation);
+    for (const std::string &holder : entry->copyHolders) {
+        if (const membership::Vm *vm = tools_.session.members->find(holder)) {
+            sender_->sendDrop(membership::peerAddress(*vm), requestId, entry->session->state().generation);
         }
     }
 }
 
 void StreamRegistry::evictCopies()
 {
-    while (copyBytes_ > tools_.mostCopyBytes) {
+    while (copyBytes_ > tools_.maxCopyBytes) {
         const auto oldest = std::min_element(entries_.begin(), entries_.end(), [](const auto &a, const auto &b) {
-            return std::pair(a.second->session != nullptr, a.second->since) < std::pair(b.second->session != nullptr, b.second->since);
+            return std::pair(a.second->session != nullptr, a.second->roleSince) < std::pair(b.second->session != nullptr, b.second->roleSince);
         });
         if (oldest == entries_.end() || oldest->second->session) {
             return;
--- a/src/streams/internal/streamregistrysearch.cpp
+++ b/src/streams/internal/streamregistrysearch.cpp
@@ -1,4 +1,4 @@
-// The part of StreamRegistry that finds a request at other VMs and takes it over.
+// The part of StreamRegistry that searches for a request at other VMs and takes it over.
 
 #include "streams/internal/streamregistryentry.h"
 #include "streams/streamcodec.h"
@@ -7,8 +7,8 @@
 
 namespace {
 
-constexpr Duration TakeTimeout = std::chrono::milliseconds(500);
-constexpr std::size_t MostRanked = 3; ///< VMs asked beside those the id names.
+constexpr Duration TakeoverTimeout = std::chrono::milliseconds(500);
+constexpr std::size_t MaxRankedHolders = 3; ///< VMs queried in addition to those named by the request id.
 
 } // namespace
 
@@ -34,49 +34,49 @@
     if (isHere) {
         candidates = {found->second->owner, self_};
     } else {
-        auto ranked = holders(*id);
-        ranked.resize(std::min(ranked.size(), MostRanked));
+        auto ranked = rankedHolders(*id);
+        ranked.resize(std::min(ranked.size(), MaxRankedHolders));
         candidates.insert(candidates.end(), ranked.begin(), ranked.end());
     }
-    ask(std::make_shared<Search>(Search{requestId, customer, TakeSearch(self_, std::move(candidates)), false}));
+    queryNext(std::make_shared<Search>(Search{requestId, customer, TakeoverSearch(self_, std::move(candidates)), false}));
 }
 
-void StreamRegistry::ask(const SearchPtr &search)
+void StreamRegistry::queryNext(const SearchPtr &search)
 {
     const auto instance = search->search.next();
     if (!instance) {
-        finishSearch(search, {search->someDidNotAnswer ? FindOutcome::RetryLater : FindOutcome::NotFound, nullptr});
+        finishSearch(search, {search->hasUnansweredQuery ? FindOutcome::RetryLater : FindOutcome::NotFound, nullptr});
     } else if (*instance == self_) {
-        takeOwnCopy(search);
+        takeOverLocalCopy(search);
     } else {
-        askPeer(search, *instance);
+        queryPeer(search, *instance);
     }
 }
 
-void StreamRegistry::askPeer(const SearchPtr &search, const std::string &instance)
+void StreamRegistry::queryPeer(const SearchPtr &search, const std::string &instance)
 {
     const membership::Vm *vm = tools_.session.members->find(instance);
     if (!vm) {
-        search->search.hasNothing(instance);
-        ask(search);
+        search->search.exclude(instance);
+        queryNext(search);
         return;
     }
-    wire::Take question;
-    question.set_request_id(search->requestId);
-    question.set_customer(search->customer);
-    const auto &withoutIt = search->search.withoutIt();
-    question.mutable_without_it()->Add(withoutIt.begin(), withoutIt.end());
+    wire::Take request;
+    request.set_request_id(search->requestId);
+    request.set_customer(search->customer);
+    const auto &excluded = search->search.excluded();
+    request.mutable_without_it()->Add(excluded.begin(), excluded.end());
     tools_.session.metrics->add("takes_asked_total");
     tools_.transport->send(membership::peerAddress(*vm),
         "streams.take",
-        question.SerializeAsString(),
-        TakeTimeout,
+        request.SerializeAsString(),
+        TakeoverTimeout,
         [self = shared_from_this(), search, instance](const Result<std::string> &answer) {
             wire::TakeReply reply;
             if (!answer || !reply.ParseFromString(answer.value())) {
-                search->someDidNotAnswer = search->someDidNotAnswer || !self->tools_.session.members->isLeaving(instance);
-                search->search.hasNothing(instance);
-                self->ask(search);
+                search->hasUnansweredQuery = search->hasUnansweredQuery || !self->tools_.session.members->isLeaving(instance);
+                search->search.exclude(instance);
+                self->queryNext(search);
                 return;
             }
             self->onTakeReply(search, instance, reply);
@@ -87,26 +87,26 @@
 {
     switch (reply.verdict()) {
     case wire::TakeReply::GIVEN:
-        finishSearch(search, {FindOutcome::Found, adopt(readState(reply.state()), instance)});
+        finishSearch(search, {FindOutcome::Found, takeOver(readState(reply.state()), instance)});
         return;
     case wire::TakeReply::ASK_OTHER:
-        search->search.isRedirected(instance, reply.other());
-        ask(search);
+        search->search.redirect(instance, reply.other());
+        queryNext(search);
         return;
     case wire::TakeReply::BUSY:
         finishSearch(search, {FindOutcome::RetryLater, nullptr});
         return;
     default:
-        search->search.hasNothing(instance);
-        ask(search);
+        search->search.exclude(instance);
+        queryNext(search);
     }
 }
 
-void StreamRegistry::takeOwnCopy(const SearchPtr &search)
+void StreamRegistry::takeOverLocalCopy(const SearchPtr &search)
 {
     const auto found = entries_.find(search->requestId);
     if (found == entries_.end()) {
-        ask(search);
+        queryNext(search);
         return;
     }
     if (found->second->session) {
@@ -114,16 +114,16 @@
         return;
     }
     StreamState state = found->second->copy;
-    state.generation = afterGive(found->second->holding(), self_).generation;
-    finishSearch(search, {FindOutcome::Found, adopt(std::move(state), {})});
+    state.generation = afterHandover(found->second->info(), self_).generation;
+    finishSearch(search, {FindOutcome::Found, takeOver(std::move(state), {})});
 }
 
-std::shared_ptr<StreamSession> StreamRegistry::adopt(StreamState state, const std::string &previousOwner)
+std::shared_ptr<StreamSession> StreamRegistry::takeOver(StreamState state, const std::string &previousOwner)
 {
     tools_.session.metrics->add("requests_taken_total");
-    const EntryPtr entry = add(std::move(state));
+    const EntryPtr entry = addSession(std::move(state));
     if (!previousOwner.empty()) {
-        entry->addPlace(previousOwner);
+        entry->addCopyHolder(previousOwner);
     }
     entry->detachedAt = tools_.session.loop->now();
     entry->session->detach();
@@ -133,7 +133,7 @@
     return entry->session;
 }
 
-// The VM that accepted the request may still drive it, if only our question to it was lost.
+// The VM that accepted the request may still run it if the takeover query to it was lost.
 void StreamRegistry::notifyHome(const EntryPtr &entry, const std::string &previousOwner)
 {
     const std::string home = parseRequestId(entry->requestId).value_or(RequestIdParts()).home;
@@ -141,7 +141,7 @@
     if (!vm || home == previousOwner || home == self_) {
         return;
     }
-    sender_->copy(membership::peerAddress(*vm), entry->state(), self_, [](CopyResult) {});
+    sender_->sendCopy(membership::peerAddress(*vm), entry->state(), self_, [](CopyResult) {});
 }
 
 void StreamRegistry::finishSearch(const SearchPtr &search, const FindResult &result)
--- a/src/streams/internal/streamsession.cpp
+++ b/src/streams/internal/streamsession.cpp
@@ -11,10 +11,10 @@
 
 namespace {
 
-constexpr std::size_t BytesPerToken = 4;
-constexpr int UnknownStream = 404;
+constexpr std::size_t BytesPerToken = 4; ///< Estimate for prompts.
+constexpr int StreamNotFoundStatus = 404;
 
-routing::AttemptEnd attemptEnd(engine::StreamEnd end)
+routing::AttemptEnd toAttemptEnd(engine::StreamEnd end)
 {
     switch (end) {
     case engine::StreamEnd::Finished:
@@ -54,7 +54,7 @@
 
 void StreamSession::start()
 {
-    tryNext();
+    startNextAttempt();
 }
 
 retry::RequestRecord StreamSession::newRecord() const
@@ -84,10 +84,10 @@
         return std::nullopt;
     }
     server_ = server;
-    return engine::NextAttempt{*server, beginAttempt(*server)};
+    return engine::NextAttempt{*server, addAttempt(*server)};
 }
 
-void StreamSession::follow(const retry::AttemptPlan &plan)
+void StreamSession::applyPlan(const retry::AttemptPlan &plan)
 {
     if (plan.kind == retry::PlanKind::GiveUp) {
         fail({plan.reason, plan.message, plan.retryAfter});
@@ -95,32 +95,33 @@
     }
     tools_.loop->after(plan.wait, [self = shared_from_this()] {
         if (self->isDetached_) {
-            self->isDormant_ = true;
+            self->isWaitingForReader_ = true;
         } else if (!self->ended_) {
-            self->tryNext();
+            self->startNextAttempt();
         }
     });
 }
 
-void StreamSession::tryNext()
+void StreamSession::startNextAttempt()
 {
     const retry::AttemptPlan plan = tools_.planner->next(record_);
     if (plan.kind != retry::PlanKind::Try) {
-        follow(plan);
+        applyPlan(plan);
         return;
     }
     server_ = plan.server;
-    const engine::EngineRequest request = beginAttempt(*server_);
+    const engine::EngineRequest request = addAttempt(*server_);
     if (observerPosition_ > state_.tokens.size()) {
-        // The caller has seen tokens that this VM never had: they are made again. (The engine client counts the others.)
+        // The caller has received tokens that this VM does not have; they are computed again. The engine client counts
+        // the recomputed tokens of the prompt and of the known output.
         tools_.metrics->add("tokens_recomputed_total", observerPosition_ - state_.tokens.size());
     }
-    positionsHeard_ = 0;
+    receivedEnd_ = 0;
     isJoining_ = false;
-    call_ = tools_.engine->start(*server_, request, hooksOf(++run_));
+    call_ = tools_.engine->start(*server_, request, makeHooks(++engineStream_));
 }
 
-engine::EngineRequest StreamSession::beginAttempt(const membership::Vm &server)
+engine::EngineRequest StreamSession::addAttempt(const membership::Vm &server)
 {
     const std::size_t number = state_.attempts.size();
     state_.attempts.push_back({server.instance, fmt::format("{}-{}", state_.requestId, number)});
@@ -132,8 +133,8 @@
     request.priority = state_.priority;
     request.requestId = state_.attempts.back().engineRequestId;
     request.continueTokens = state_.tokens;
-    if (number > 0 && attemptHandler_) {
-        attemptHandler_();
+    if (number > 0 && newAttemptHandler_) {
+        newAttemptHandler_();
     }
     return request;
 }
@@ -144,32 +145,32 @@
         end();
         return;
     }
-    // Its caller has seen a part of the answer.
+    // Its caller may have received a part of the answer already.
     record_.accepted = true;
     if (state_.attempts.empty()) {
-        tryNext();
+        startNextAttempt();
         return;
     }
     const membership::Vm *server = tools_.members->find(state_.attempts.back().server);
     if (!server || server->state == membership::VmState::Gone) {
-        tryNext();
+        startNextAttempt();
         return;
     }
     server_ = *server;
     isJoining_ = true;
     tools_.planner->joined(record_, *server_);
     tools_.metrics->add("streams_joined_total");
-    call_ = tools_.engine->resume(*server_, state_.attempts.back().engineRequestId, state_.tokens.size(), hooksOf(++run_));
+    call_ = tools_.engine->resume(*server_, state_.attempts.back().engineRequestId, state_.tokens.size(), makeHooks(++engineStream_));
 }
 
-engine::EngineHooks StreamSession::hooksOf(std::size_t run)
+engine::EngineHooks StreamSession::makeHooks(std::size_t engineStream)
 {
     engine::EngineHooks hooks;
-    hooks.onToken = [self = shared_from_this(), run](const engine::Token &token) {
-        self->onToken(run, token);
+    hooks.onToken = [self = shared_from_this(), engineStream](const engine::Token &token) {
+        self->onToken(engineStream, token);
     };
-    hooks.onEnd = [self = shared_from_this(), run](const engine::EngineResult &result) {
-        self->onEnd(run, result);
+    hooks.onEnd = [self = shared_from_this(), engineStream](const engine::EngineResult &result) {
+        self->onEnd(engineStream, result);
     };
     hooks.onMove = [self = shared_from_this()] {
         return self->nextAttempt();
@@ -178,7 +179,7 @@
         return std::span<const std::string>(self->state_.tokens);
     };
     hooks.onLeft = [self = shared_from_this()](const std::string &instance, engine::StreamEnd end) {
-        self->tools_.planner->left(self->record_, instance, attemptEnd(end));
+        self->tools_.planner->left(self->record_, instance, toAttemptEnd(end));
     };
     hooks.onBroken = [self = shared_from_this()](const std::string &instance) {
         self->tools_.planner->broken(instance);
@@ -186,13 +187,14 @@
     return hooks;
 }
 
-void StreamSession::onToken(std::size_t run, const engine::Token &token)
+void StreamSession::onToken(std::size_t engineStream, const engine::Token &token)
 {
-    // A late byte of an earlier run, or a position that was seen already.
-    if (ended_ || run != run_) {
+    // Ignore late tokens of an earlier engine stream.
+    if (ended_ || engineStream != engineStream_) {
         return;
     }
-    positionsHeard_ = std::max(positionsHeard_, token.position + 1);
+    receivedEnd_ = std::max(receivedEnd_, token.position + 1);
+    // Drop duplicates and tokens after a gap.
     if (token.position != state_.tokens.size()) {
         return;
     }
@@ -206,18 +208,18 @@
     }
 }
 
-void StreamSession::onEnd(std::size_t run, const engine::EngineResult &result)
+void StreamSession::onEnd(std::size_t engineStream, const engine::EngineResult &result)
 {
-    const bool isLast = !ended_ && run == run_;
+    const bool isCurrent = !ended_ && engineStream == engineStream_;
     const bool isFinal = result.end == engine::StreamEnd::Finished || result.end == engine::StreamEnd::Rejected;
-    if (!isLast || isFinal) {
-        tools_.planner->ended(record_, result.server, attemptEnd(result.end));
+    if (!isCurrent || isFinal) {
+        tools_.planner->ended(record_, result.server, toAttemptEnd(result.end));
     }
-    if (!isLast) {
+    if (!isCurrent) {
         return;
     }
-    // NOTE An end with a token missing is no end: the rest comes from another attempt.
-    if (result.end == engine::StreamEnd::Finished && positionsHeard_ <= state_.tokens.size()) {
+    // NOTE If a token is missing, the answer is incomplete: the rest comes from another attempt.
+    if (result.end == engine::StreamEnd::Finished && receivedEnd_ <= state_.tokens.size()) {
         state_.finished = true;
         state_.finishReason = result.finishReason;
         state_.promptTokens = result.promptTokens;
@@ -228,8 +230,8 @@
         end();
         return;
     }
-    // NOTE By the status: a client that looked for another way first reports a broken stream.
-    const bool isUnknownToServer = isJoining_ && result.status == UnknownStream;
+    // NOTE Checks the status and not the end: a client that first tried another recovery method reports a broken stream.
+    const bool isUnknownToServer = isJoining_ && result.status == StreamNotFoundStatus;
     if (isUnknownToServer) {
         state_.attempts.back().isUnknownToServer = true;
         std::erase(record_.tried, result.server);
@@ -237,14 +239,14 @@
         fail({metrics::RefusalReason::BadField, "The engine rejected the request.", Duration(0)});
         return;
     }
-    partLogger("streams")->info("An attempt failed. request={} server={} status={} error={}", state_.requestId, result.server, result.status, result.error);
+    partLogger("streams")->info("Attempt failed. request={} server={} status={} error={}", state_.requestId, result.server, result.status, result.error);
     const retry::Evidence evidence = isUnknownToServer ? retry::Evidence::Refused : evidenceOf(result);
     const retry::AttemptPlan plan = tools_.planner->failed(record_, result.server, evidence);
     if (isDetached_) {
-        isDormant_ = true;
+        isWaitingForReader_ = true;
         return;
     }
-    follow(plan);
+    applyPlan(plan);
 }
 
 void StreamSession::attach(std::uint64_t position, StreamObserver observer)
@@ -267,8 +269,8 @@
         reader->onFinished();
     } else if (failure_) {
         reader->onFailed(*failure_);
-    } else if (std::exchange(isDormant_, false)) {
-        tryNext();
+    } else if (std::exchange(isWaitingForReader_, false)) {
+        startNextAttempt();
     }
 }
 
@@ -344,7 +346,7 @@
 
 void StreamSession::onNewAttempt(std::function<void()> handler)
 {
-    attemptHandler_ = std::move(handler);
+    newAttemptHandler_ = std::move(handler);
 }
 
 void StreamSession::fail(const StreamFailure &failure)
--- a/src/streams/streamdecision.h
+++ b/src/streams/streamdecision.h
@@ -12,89 +12,90 @@
 
 namespace cardamomlift::streams {
 
-/// What the id of a request says about where the request may be found.
+/// The VMs encoded in a request id, at which the request can be found.
 struct RequestIdParts {
-    std::string home; ///< Instance of the entry VM that accepted it.
+    std::string home; ///< Instance of the entry VM that accepted the request.
     std::string homeZone;
-    std::string holder; ///< Instance that held the first copy; empty if none did.
+    std::string holder; ///< Instance chosen to hold the first copy; empty if there was none.
 };
 
-/// "req-<unique>~<home>~<zone>~<holder>". Instances and zones have no '~'.
+/// "req-<unique>~<home>~<zone>~<holder>". Names of instances and zones contain no '~'.
 std::string makeRequestId(std::string_view unique, const RequestIdParts &parts);
 /// Empty if @p requestId was not made by makeRequestId().
 std::optional<RequestIdParts> parseRequestId(std::string_view requestId);
 
-/// The VMs that may hold copies for @p home, best first: another zone of the region, then other regions, then the own
-/// zone. Leaving VMs are left out. Every VM with the same list of VMs computes the same order.
-std::vector<std::string> rankHolders(std::string_view home, std::string_view homeZone, std::span<const membership::Vm> entries);
+/// The VMs that may hold copies for @p home, best first: other zones of its region, then other regions, then its own zone.
+/// VMs that are leaving are left out. VMs with the same list of VMs compute the same order.
+std::vector<std::string> rankCopyHolders(std::string_view home, std::string_view homeZone, std::span<const membership::Vm> entries);
 
-/// What one VM has of one request.
-enum class Role {
-    Owner, ///< Drives it: reads the engine's stream, serves the caller.
-    Copy, ///< Has a state that may be older; the owner is, or was, another VM.
+/// The role of a VM for one request.
+enum class ReplicaRole {
+    Owner, ///< Reads the engine's stream and serves the caller.
+    Copy, ///< Holds a copy, possibly out of date; another VM is or was the owner.
 };
 
-/// The role, owner and progress by which VMs compare what they have of a request.
-struct Holding {
-    Role role = Role::Copy;
-    std::string owner; ///< Who owns it as far as this VM knows.
-    std::uint64_t generation = 1; ///< Counts changes of owner.
-    std::uint64_t tokens = 0; ///< Length of the output so far.
+/// A VM's view of a request: role, owner and progress. VMs compare these to decide which state is newer.
+struct ReplicaInfo {
+    ReplicaRole role = ReplicaRole::Copy;
+    std::string owner; ///< Owner as far as this VM knows.
+    std::uint64_t generation = 1; ///< Incremented with each change of owner.
+    std::uint64_t tokens = 0; ///< Tokens of output so far.
 };
 
-/// A VM asks to become the owner, since the caller resumed there.
-struct TakeQuestion {
-    std::string asker;
-    std::span<const std::string> withoutIt; ///< VMs that did not answer the asker or do not have the request.
+/// A VM asks to become the owner, since the caller resumed the stream there.
+struct TakeoverRequest {
+    std::string requester;
+    std::span<const std::string> excluded; ///< VMs that did not answer the requester, or do not have the request.
 };
 
-/// The answer of a VM that was asked for a request.
-enum class TakeVerdict {
-    Unknown,
-    Give,
-    AskOther,
-    Busy, ///< The asked VM is taking the request itself right now.
+/// Answer to a TakeoverRequest.
+enum class TakeoverVerdict {
+    Unknown, ///< The asked VM does not have the request.
+    HandOver, ///< The requester becomes the owner.
+    Redirect, ///< Another VM is the owner.
+    Busy, ///< The asked VM is itself taking over the request.
 };
 
-/// A verdict, with the VM it points to.
-struct TakeDecision {
-    TakeVerdict verdict = TakeVerdict::Unknown;
-    std::string other; ///< With AskOther.
+/// A verdict and, for a redirect, the owner.
+struct TakeoverDecision {
+    TakeoverVerdict verdict = TakeoverVerdict::Unknown;
+    std::string owner; ///< Set for Redirect.
 };
 
-/// Answers a TakeQuestion. @p mine is null if this VM has nothing of the request.
-TakeDecision decideTake(const Holding *mine, bool isTaking, const TakeQuestion &question);
-/// What the previous owner has left after it handed over to @p asker. Handing over twice to the same asker changes nothing more.
-Holding afterGive(const Holding &mine, const std::string &asker);
-/// Whether a copy that came in replaces what this VM has.
-bool isNewer(const Holding *mine, const Holding &offered);
-/// The VM to send a stored copy on to, or empty: an earlier owner that may still drive the request.
-std::string ownerToNotify(const Holding *replaced, const Holding &stored);
-/// Whether the sender of a copy must stop driving the request, since this VM knows of another owner that comes first.
-bool isSuperseded(const Holding *mine, const Holding &offered);
-
-/// The asker's side: whom to ask next.
-class TakeSearch
+/// Answers a TakeoverRequest. @p local is null if this VM does not have the request.
+TakeoverDecision decideTakeover(const ReplicaInfo *local, bool isTakingOver, const TakeoverRequest &request);
+/// What a VM keeps after it handed the request over to @p requester. Idempotent: a second handover to the same requester has
+/// no effect.
+ReplicaInfo afterHandover(const ReplicaInfo &local, const std::string &requester);
+/// Whether a received copy replaces what this VM has.
+bool isNewer(const ReplicaInfo *local, const ReplicaInfo &offered);
+/// The previous owner, to which a newly stored copy is forwarded since it may still run the request; empty if there is none.
+std::string ownerToNotify(const ReplicaInfo *replaced, const ReplicaInfo &stored);
+/// Whether the sender of a copy must stop running the request, since this VM knows of an owner with higher precedence.
+bool isSuperseded(const ReplicaInfo *local, const ReplicaInfo &offered);
+
+/// Search for the owner of a request, on the requester's side: decides which VM to query next.
+class TakeoverSearch
 {
 public:
-    static constexpr std::size_t MostQuestions = 8;
+    static constexpr std::size_t MaxQueries = 8;
 
-    TakeSearch(std::string self, std::vector<std::string> candidates);
-    /// The next VM to ask, or none when the search is over. May be the asker itself, for its own copy.
+    TakeoverSearch(std::string self, std::vector<std::string> candidates);
+    /// The next VM to query, or none if the search is over. May be the requester itself, for its local copy.
     std::optional<std::string> next();
-    /// @p instance did not answer, or has nothing of the request.
-    void hasNothing(const std::string &instance);
-    /// @p instance says that @p owner owns it.
-    void isRedirected(const std::string &instance, const std::string &owner);
-    const std::vector<std::string> &withoutIt() const;
+    /// @p instance did not answer, or does not have the request.
+    void exclude(const std::string &instance);
+    /// @p instance answered that @p owner owns the request.
+    void redirect(const std::string &instance, const std::string &owner);
+    const std::vector<std::string> &excluded() const;
 
 private:
-    bool isWithoutIt(const std::string &instance) const;
+    bool isExcluded(const std::string &instance) const;
     std::string self_;
-    std::vector<std::string> queue_; ///< First is next.
-    std::vector<std::string> withoutIt_;
+    std::vector<std::string> queue_; ///< The first one is next.
+    std::vector<std::string> excluded_;
     std::set<std::string> redirected_; ///< VMs that named another owner.
-    std::size_t questions_ = 0;
+    std::size_t queries_ = 0;
 };
 
 } // namespace cardamomlift::streams
--- a/src/streams/streamsession.h
+++ b/src/streams/streamsession.h
@@ -13,7 +13,7 @@
 
 namespace cardamomlift::streams {
 
-/// What a session works with.
+/// Dependencies of a StreamSession.
 struct SessionTools {
     EventLoop *loop = nullptr;
     std::shared_ptr<engine::EngineClient> engine;
@@ -22,67 +22,68 @@
     std::shared_ptr<membership::Members> members;
 };
 
-/// Drives one model request over its attempts, independent of the caller's connection. An observer is attached to read it.
+/// Runs one model request over one or more attempts, independently of the caller's connection. A reader attaches an observer
+/// to receive the answer.
 class StreamSession : public std::enable_shared_from_this<StreamSession>
 {
 public:
     static std::shared_ptr<StreamSession> create(SessionTools tools, StreamState state);
 
     void start();
-    /// Goes on with a request that another VM drove: joins the engine's stream at the next position, or tries another
-    /// server if the engine no longer has it.
+    /// Continues a request that another VM owned: resumes the engine's stream at the next position, or starts an attempt at
+    /// another server if that is not possible.
     void join();
-    /// Gives the answer from @p position to @p observer, replacing an earlier one, which is told by onReplaced.
+    /// Delivers the answer from @p position on to @p observer. Replaces the previous observer, whose onReplaced is called.
     void attach(std::uint64_t position, StreamObserver observer);
-    /// The reader is gone. The running attempt goes on; a new one starts only when a reader attaches, so that nobody
-    /// pays for an answer that nobody reads.
+    /// The reader has disconnected. The running attempt continues; another one starts only once a reader attaches, so that no
+    /// answer is computed, and charged for, without a reader.
     void detach();
     bool isDetached() const;
-    /// Ends the request; the engine's stream is cancelled.
+    /// Ends the request and cancels the engine's stream.
     void cancel();
-    /// Ends the request on this VM and leaves the engine's stream running for the VM that goes on with it.
+    /// Ends the request on this VM, but leaves the engine's stream running for the VM that continues it.
     void handOver();
-    /// Ends the request; its reader hears @p failure.
+    /// Cancels the request and reports @p failure to the reader.
     void giveUp(const StreamFailure &failure);
     bool hasEnded() const;
-    /// Ended by handOver() before its answer was whole.
+    /// Whether handOver() ended it before its answer was complete.
     bool wasHandedOver() const;
     const StreamState &state() const;
-    /// Called once when the session has ended, in whatever way; at once if it has.
+    /// @p handler is called once when the session ends for any reason; at once if it has already ended.
     void onEnded(std::function<void()> handler);
-    /// Called when a second or later attempt begins; state() names it.
+    /// @p handler is called when the second or a later attempt is added to state().
     void onNewAttempt(std::function<void()> handler);
 
 private:
     StreamSession() = default;
     retry::RequestRecord newRecord() const;
-    /// Chooses the server of a move.
+    /// Selects a server to move the stream to, and adds the attempt.
     std::optional<engine::NextAttempt> nextAttempt();
-    void tryNext();
-    void follow(const retry::AttemptPlan &plan);
-    engine::EngineRequest beginAttempt(const membership::Vm &server);
-    engine::EngineHooks hooksOf(std::size_t run);
-    void onToken(std::size_t run, const engine::Token &token);
-    void onEnd(std::size_t run, const engine::EngineResult &result);
+    void startNextAttempt();
+    void applyPlan(const retry::AttemptPlan &plan);
+    engine::EngineRequest addAttempt(const membership::Vm &server);
+    engine::EngineHooks makeHooks(std::size_t engineStream);
+    void onToken(std::size_t engineStream, const engine::Token &token);
+    void onEnd(std::size_t engineStream, const engine::EngineResult &result);
     void fail(const StreamFailure &failure);
     void end();
     SessionTools tools_;
     StreamState state_;
     retry::RequestRecord record_;
-    std::shared_ptr<StreamObserver> observer_; ///< Shared, since a reader may detach from inside its own call.
+    std::shared_ptr<StreamObserver> observer_; ///< Shared, since a reader may detach inside its own callback.
     std::uint64_t observerPosition_ = 0;
     std::optional<membership::Vm> server_;
     http::CallId call_ = 0;
     std::function<void()> endedHandler_;
-    std::function<void()> attemptHandler_;
-    std::uint64_t positionsHeard_ = 0; ///< After the last token of this attempt, also one that came too early.
+    std::function<void()> newAttemptHandler_;
+    std::uint64_t receivedEnd_ = 0; ///< One past the highest position received in this attempt, also of tokens that came out of order.
     std::optional<StreamFailure> failure_;
     bool ended_ = false;
     bool wasHandedOver_ = false;
     bool isDetached_ = false;
-    bool isDormant_ = false; ///< Detached, and its attempt failed: waits for a reader before it tries again.
+    bool isWaitingForReader_ = false; ///< The attempt failed while detached: the next one starts when a reader attaches.
     bool isJoining_ = false; ///< The current attempt was started by another VM.
-    std::size_t run_ = 0; ///< Of the engine client's streams; each may have had several attempts.
+    std::size_t engineStream_ = 0; ///< Number of the current stream of the engine client, which may span several attempts.
 };
 
 } // namespace cardamomlift::streams
--- a/src/streams/streamtypes.h
+++ b/src/streams/streamtypes.h
@@ -12,14 +12,14 @@
 
 namespace cardamomlift::streams {
 
-/// One try at a backend server.
+/// One attempt to run a request at a backend server.
 struct Attempt {
-    std::string server; ///< Instance.
-    std::string engineRequestId; ///< "<request id>-<number>": identity of the attempt, never the address.
-    bool isUnknownToServer = false; ///< The server no longer has the stream, which says nothing against the server.
+    std::string server; ///< Instance name.
+    std::string engineRequestId; ///< "<request id>-<number>": identifies the attempt independently of the server's address.
+    bool isUnknownToServer = false; ///< The server no longer has the stream. Not counted as a failure of the server.
 };
 
-/// All that is known of one model request; enough to go on with it on any VM.
+/// Everything known of one model request: enough for any entry VM to continue it.
 struct StreamState {
     std::string requestId;
     std::string customer;
@@ -30,29 +30,29 @@
     std::uint64_t seed = 0;
     int priority = 0;
     std::uint64_t prefixHash = 0;
-    std::vector<std::string> tokens; ///< Output so far; the index is the position.
+    std::vector<std::string> tokens; ///< Output so far; the index of a token is its position.
     std::vector<Attempt> attempts;
     bool finished = false;
     std::string finishReason;
     std::int64_t promptTokens = 0;
     std::int64_t cachedTokens = 0;
-    std::uint64_t generation = 1; ///< Counts changes of the VM that drives it.
-    std::optional<TimePoint> firstTokenDeadline; ///< By this VM's clock: not told to other VMs, who get what was accepted only.
+    std::uint64_t generation = 1; ///< Incremented each time another VM becomes the owner.
+    std::optional<TimePoint> firstTokenDeadline; ///< By this VM's clock, so never sent to other VMs; those only get accepted requests.
 };
 
-/// Why a request ended without a whole answer.
+/// Why a request ended without a complete answer.
 struct StreamFailure {
     metrics::RefusalReason reason = metrics::RefusalReason::RetriesExhausted;
     std::string message;
     Duration retryAfter = std::chrono::seconds(1);
 };
 
-/// What the reader of a request's answer hears, in order, from the position it asked for.
+/// Callbacks for the reader of an answer. Tokens arrive in order, starting at the position that the reader asked for.
 struct StreamObserver {
     std::function<void(std::uint64_t position, const std::string &text)> onToken;
     std::function<void()> onFinished;
     std::function<void(const StreamFailure &failure)> onFailed;
-    /// Another reader takes over, here or at another VM; nothing more comes.
+    /// Another reader has taken over, here or at another VM; no further callback follows.
     std::function<void()> onReplaced;
 };
 
--- a/src/streams/tests/streamregistry_test.cpp
+++ b/src/streams/tests/streamregistry_test.cpp
@@ -1,4 +1,4 @@
-// Two entry VMs in one process, before an engine that the test plays.
+// Two entry VMs in one process, with an engine played by the test.
 
 #include "gateway/chatstream.h"
 #include "http/server.h"
@@ -13,7 +13,7 @@
 
 namespace {
 
-constexpr int MostTurns = 20000;
+constexpr int MaxTurns = 20000;
 
 membership::Vm entryVm(const std::string &instance, const std::string &zone)
 {
@@ -30,7 +30,7 @@
     return fmt::format("id: {}\ndata: {{\"id\":\"{}\",\"choices\":[{{\"delta\":{{\"content\":\"{}\"}}}}]}}\n\n", position, id, text);
 }
 
-/// One entry VM.
+/// An entry VM.
 struct Node {
     std::shared_ptr<peers::LocalTransport> transport;
     std::shared_ptr<membership::Members> members;
@@ -38,8 +38,8 @@
     std::shared_ptr<StreamRegistry> registry;
 };
 
-/// A caller's connection that takes no bytes.
-class StuckResponder : public http::Responder
+/// The connection of a caller that reads nothing: written bytes stay in its buffer.
+class BlockedResponder : public http::Responder
 {
 public:
     void respond(http::Response) override
@@ -100,10 +100,10 @@
         client_ = std::move(http::Client::create(*loop_).value());
         engine_ =
             std::move(http::Server::create(*loop_, {}, [this](const http::Request &request, const auto &responder) { onEngine(request, responder); }).value());
-        list_ = {entryVm("entry-1", "zone-1"), entryVm("entry-2", "zone-2"), entryVm("engine-1", "zone-3")};
-        list_[2].role = membership::VmRole::Model;
-        list_[2].port = engine_->port();
-        list_[2].serves = {"model"};
+        vms_ = {entryVm("entry-1", "zone-1"), entryVm("entry-2", "zone-2"), entryVm("engine-1", "zone-3")};
+        vms_[2].role = membership::VmRole::Model;
+        vms_[2].port = engine_->port();
+        vms_[2].serves = {"model"};
         start(first_, "entry-1", "zone-1");
         start(second_, "entry-2", "zone-2");
     }
@@ -112,7 +112,7 @@
     {
         node.transport = peers::LocalTransport::create(*loop_, network_, instance);
         node.members = membership::Members::create(instance);
-        node.members->applyList(list_);
+        node.members->applyList(vms_);
         StreamRegistryTools tools;
         tools.session = {loop_.get(), engine::EngineClient::create(client_), makePlanner(node), node.metrics, node.members};
         tools.transport = node.transport;
@@ -139,12 +139,12 @@
             responder->respond({200, {}, {}});
             return;
         }
-        if (request.method == "GET" && hasForgotten_) {
+        if (request.method == "GET" && isStreamUnknown_) {
             responder->respond({404, {}, {}});
             return;
         }
-        readers_.push_back(responder);
-        asked_.push_back(request.method + " " + request.path);
+        engineConnections_.push_back(responder);
+        engineRequests_.push_back(request.method + " " + request.path);
         responder->startStream(200, {{"Content-Type", "text/event-stream"}});
     }
 
@@ -158,7 +158,7 @@
         state.maxTokens = 10;
         auto session = first_.registry->open(state, [this] { isAccepted_ = true; });
         read(session, 0);
-        turnUntil([&] { return isAccepted_ && !readers_.empty(); });
+        runUntil([&] { return isAccepted_ && !engineConnections_.empty(); });
         return session;
     }
 
@@ -166,21 +166,21 @@
     {
         StreamObserver observer;
         observer.onToken = [this](std::uint64_t at, const std::string &text) {
-            heard_ += fmt::format("{}{} ", at, text);
+            received_ += fmt::format("{}{} ", at, text);
         };
         observer.onFinished = [this] {
-            heard_ += "end";
+            received_ += "end";
         };
         observer.onFailed = [this](const StreamFailure &failure) {
-            heard_ += "failed: " + failure.message;
+            received_ += "failed: " + failure.message;
         };
         session->attach(position, observer);
     }
 
-    /// Runs the loop until @p condition holds, with the clock standing still.
-    void turnUntil(const std::function<bool()> &condition)
+    /// Runs the loop until @p condition holds; the clock advances by 0.1 ms with each turn.
+    void runUntil(const std::function<bool()> &condition)
     {
-        for (int i = 0; i < MostTurns && !condition(); i++) {
+        for (int i = 0; i < MaxTurns && !condition(); i++) {
             clock_.advance(std::chrono::microseconds(100));
             loop_->runDue();
             usleep(100);
@@ -188,7 +188,7 @@
         EXPECT_TRUE(condition());
     }
 
-    void pass(Duration time)
+    void advance(Duration time)
     {
         clock_.advance(time);
         loop_->runDue();
@@ -200,20 +200,20 @@
     std::shared_ptr<http::Client> client_;
     std::unique_ptr<http::Server> engine_;
     std::shared_ptr<peers::LocalNetwork> network_ = std::make_shared<peers::LocalNetwork>();
-    std::vector<membership::Vm> list_;
+    std::vector<membership::Vm> vms_;
     Node first_;
     Node second_;
-    std::vector<std::shared_ptr<http::Responder>> readers_;
-    std::vector<std::string> asked_;
+    std::vector<std::shared_ptr<http::Responder>> engineConnections_;
+    std::vector<std::string> engineRequests_;
     std::vector<std::string> cancelled_;
-    std::string heard_;
+    std::string received_;
     bool isAccepted_ = false;
-    bool hasForgotten_ = false; ///< The engine no longer has its streams.
+    bool isStreamUnknown_ = false; ///< The engine answers every resume with 404.
 };
 
 } // namespace
 
-TEST_F(StreamRegistryTest, CopyStandsBeforeAcceptance)
+TEST_F(StreamRegistryTest, CopyIsStoredBeforeAcceptance)
 {
     bool hadCopy = false;
     StreamState state;
@@ -224,112 +224,112 @@
         hadCopy = second_.registry->copyCount() == 1;
         isAccepted_ = true;
     });
-    turnUntil([&] { return isAccepted_; });
+    runUntil([&] { return isAccepted_; });
     EXPECT_TRUE(hadCopy);
 }
 
-TEST_F(StreamRegistryTest, WithoutAPeerARequestIsServedAndCounted)
+TEST_F(StreamRegistryTest, RequestWithoutReachablePeerIsServedAndCounted)
 {
     network_->cuts.insert({"entry-1", "entry-2"});
     openStream();
     EXPECT_EQ(first_.metrics->counter("copies_missing_total"), 1U);
 }
 
-TEST_F(StreamRegistryTest, BytesOfAnotherRequestAreNeverPassedOn)
+TEST_F(StreamRegistryTest, TokensOfAnotherRequestAreNeverForwarded)
 {
     const auto session = openStream();
     const std::string own = session->state().attempts[0].engineRequestId;
-    readers_[0]->write(chunk(own, 0, "a"));
-    turnUntil([&] { return heard_ == "0a "; });
-    // Right position, other request: a connection that the engine, or something between, has mixed up.
-    readers_[0]->write(chunk("req-other-0", 1, "foreign"));
-    readers_[0]->write("data: [DONE]\n\n");
-    readers_[0]->finish();
-    turnUntil([&] { return session->hasEnded() || session->state().attempts.size() > 1; });
-    EXPECT_EQ(heard_.find("foreign"), std::string::npos);
-    EXPECT_EQ(heard_.find("end"), std::string::npos);
+    engineConnections_[0]->write(chunk(own, 0, "a"));
+    runUntil([&] { return received_ == "0a "; });
+    // Matching position but the id of another request, as if the engine or a proxy had mixed up connections.
+    engineConnections_[0]->write(chunk("req-other-0", 1, "foreign"));
+    engineConnections_[0]->write("data: [DONE]\n\n");
+    engineConnections_[0]->finish();
+    runUntil([&] { return session->hasEnded() || session->state().attempts.size() > 1; });
+    EXPECT_EQ(received_.find("foreign"), std::string::npos);
+    EXPECT_EQ(received_.find("end"), std::string::npos);
     EXPECT_EQ(session->state().tokens, std::vector<std::string>{"a"});
 }
 
-TEST_F(StreamRegistryTest, TokensOutOfOrderOrTwiceAreDropped)
+TEST_F(StreamRegistryTest, OutOfOrderAndDuplicateTokensAreDropped)
 {
     const auto session = openStream();
     const std::string own = session->state().attempts[0].engineRequestId;
     for (const int position : {0, 0, 2, 1, 1, 0, 2}) {
-        readers_[0]->write(chunk(own, position, std::string(1, static_cast<char>('a' + position))));
+        engineConnections_[0]->write(chunk(own, position, std::string(1, static_cast<char>('a' + position))));
     }
-    readers_[0]->write("data: [DONE]\n\n");
-    readers_[0]->finish();
-    turnUntil([&] { return session->hasEnded(); });
-    EXPECT_EQ(heard_, "0a 1b 2c end");
+    engineConnections_[0]->write("data: [DONE]\n\n");
+    engineConnections_[0]->finish();
+    runUntil([&] { return session->hasEnded(); });
+    EXPECT_EQ(received_, "0a 1b 2c end");
     EXPECT_EQ(session->state().tokens, (std::vector<std::string>{"a", "b", "c"}));
 }
 
-TEST_F(StreamRegistryTest, AnEndWithATokenMissingIsNoEnd)
+TEST_F(StreamRegistryTest, EndWithAMissingTokenFailsTheAttempt)
 {
     const auto session = openStream();
     const std::string own = session->state().attempts[0].engineRequestId;
-    readers_[0]->write(chunk(own, 0, "a"));
-    readers_[0]->write(chunk(own, 2, "c"));
-    readers_[0]->write("data: [DONE]\n\n");
-    readers_[0]->finish();
-    turnUntil([&] { return session->hasEnded(); });
-    EXPECT_EQ(heard_, "0a failed: No server that has not failed is left for this now.");
+    engineConnections_[0]->write(chunk(own, 0, "a"));
+    engineConnections_[0]->write(chunk(own, 2, "c"));
+    engineConnections_[0]->write("data: [DONE]\n\n");
+    engineConnections_[0]->finish();
+    runUntil([&] { return session->hasEnded(); });
+    EXPECT_EQ(received_, "0a failed: No server that has not failed is left for this now.");
 }
 
-TEST_F(StreamRegistryTest, ANewOwnerJoinsTheEnginesStreamAndThePreviousOneStops)
+TEST_F(StreamRegistryTest, NewOwnerResumesTheEnginesStreamAndThePreviousOwnerStops)
 {
     const auto session = openStream();
     const std::string own = session->state().attempts[0].engineRequestId;
-    readers_[0]->write(chunk(own, 0, "a"));
-    turnUntil([&] { return heard_ == "0a "; });
-    std::shared_ptr<StreamSession> taken;
-    second_.registry->find(session->state().requestId, "customer", [&](const FindResult &result) { taken = result.session; });
-    turnUntil([&] { return taken && readers_.size() == 2; });
-    ASSERT_TRUE(taken);
-    read(taken, 1);
+    engineConnections_[0]->write(chunk(own, 0, "a"));
+    runUntil([&] { return received_ == "0a "; });
+    std::shared_ptr<StreamSession> resumed;
+    second_.registry->find(session->state().requestId, "customer", [&](const FindResult &result) { resumed = result.session; });
+    runUntil([&] { return resumed && engineConnections_.size() == 2; });
+    ASSERT_TRUE(resumed);
+    read(resumed, 1);
     EXPECT_TRUE(session->hasEnded());
-    EXPECT_EQ(asked_[1], "GET /v1/streams/" + own);
-    // A late byte at the previous owner changes nothing.
-    readers_[0]->write(chunk(own, 1, "late"));
-    readers_[1]->write(chunk(own, 1, "b"));
-    readers_[1]->write("data: [DONE]\n\n");
-    readers_[1]->finish();
-    turnUntil([&] { return taken->hasEnded(); });
-    EXPECT_EQ(heard_, "0a 1b end");
+    EXPECT_EQ(engineRequests_[1], "GET /v1/streams/" + own);
+    // A late token at the previous owner is ignored.
+    engineConnections_[0]->write(chunk(own, 1, "late"));
+    engineConnections_[1]->write(chunk(own, 1, "b"));
+    engineConnections_[1]->write("data: [DONE]\n\n");
+    engineConnections_[1]->finish();
+    runUntil([&] { return resumed->hasEnded(); });
+    EXPECT_EQ(received_, "0a 1b end");
     EXPECT_TRUE(cancelled_.empty());
 }
 
-TEST_F(StreamRegistryTest, AStreamThatTheEngineForgotGoesOnAsANewAttempt)
+TEST_F(StreamRegistryTest, StreamUnknownToTheEngineContinuesAsANewAttempt)
 {
     const auto session = openStream();
-    readers_[0]->write(chunk(session->state().attempts[0].engineRequestId, 0, "a"));
-    turnUntil([&] { return heard_ == "0a "; });
-    hasForgotten_ = true;
-    std::shared_ptr<StreamSession> taken;
-    second_.registry->find(session->state().requestId, "customer", [&](const FindResult &result) { read(taken = result.session, 1); });
-    turnUntil([&] { return readers_.size() == 2; });
-    ASSERT_TRUE(taken);
-    // The one server there is has done nothing wrong.
-    EXPECT_EQ(taken->state().attempts.size(), 2U);
-    readers_[1]->write(chunk(taken->state().attempts[1].engineRequestId, 1, "b"));
-    turnUntil([&] { return heard_ == "0a 1b "; });
+    engineConnections_[0]->write(chunk(session->state().attempts[0].engineRequestId, 0, "a"));
+    runUntil([&] { return received_ == "0a "; });
+    isStreamUnknown_ = true;
+    std::shared_ptr<StreamSession> resumed;
+    second_.registry->find(session->state().requestId, "customer", [&](const FindResult &result) { read(resumed = result.session, 1); });
+    runUntil([&] { return engineConnections_.size() == 2; });
+    ASSERT_TRUE(resumed);
+    // An unknown stream is no failure of the server: the new attempt goes to the same one.
+    EXPECT_EQ(resumed->state().attempts.size(), 2U);
+    engineConnections_[1]->write(chunk(resumed->state().attempts[1].engineRequestId, 1, "b"));
+    runUntil([&] { return received_ == "0a 1b "; });
 }
 
-TEST_F(StreamRegistryTest, ALostCallersStreamIsCancelledAfterTheResumeWindow)
+TEST_F(StreamRegistryTest, DisconnectedCallersStreamIsCancelledAfterTheResumeWindow)
 {
     const auto session = openStream();
     first_.registry->onReaderDisconnected(session->state().requestId);
-    pass(std::chrono::seconds(9));
+    advance(std::chrono::seconds(9));
     EXPECT_FALSE(session->hasEnded());
-    pass(std::chrono::seconds(2));
-    pass(std::chrono::seconds(1));
+    advance(std::chrono::seconds(2));
+    advance(std::chrono::seconds(1));
     EXPECT_TRUE(session->hasEnded());
-    turnUntil([&] { return !cancelled_.empty() && second_.registry->copyCount() == 0; });
+    runUntil([&] { return !cancelled_.empty() && second_.registry->copyCount() == 0; });
     EXPECT_EQ(cancelled_.size(), 1U);
 }
 
-TEST_F(StreamRegistryTest, ASlowCallersBufferIsBoundedAndItsRequestResumes)
+TEST_F(StreamRegistryTest, SlowCallersBufferIsBoundedAndItsRequestCanBeResumed)
 {
     const auto session = openStream();
     const std::string own = session->state().attempts[0].engineRequestId;
@@ -337,31 +337,31 @@
     tools.callerBufferBytes = 1000;
     tools.metrics = first_.metrics;
     tools.streamRegistry = first_.registry;
-    const auto responder = std::make_shared<StuckResponder>();
+    const auto responder = std::make_shared<BlockedResponder>();
     gateway::streamTo(tools, session, responder, 0);
     for (int i = 0; i < 50; i++) {
-        readers_[0]->write(chunk(own, i, "t"));
+        engineConnections_[0]->write(chunk(own, i, "t"));
     }
-    turnUntil([&] { return session->state().tokens.size() == 50; });
+    runUntil([&] { return session->state().tokens.size() == 50; });
     EXPECT_TRUE(responder->isAborted);
     EXPECT_LT(responder->bufferedBytes(), 2000U);
     EXPECT_EQ(first_.metrics->counter("slow_callers_total"), 1U);
     EXPECT_TRUE(session->isDetached());
     read(session, 48);
-    EXPECT_EQ(heard_, "48t 49t ");
+    EXPECT_EQ(received_, "48t 49t ");
 }
 
-TEST_F(StreamRegistryTest, ADetachedRequestStartsNoNewAttempt)
+TEST_F(StreamRegistryTest, DetachedRequestStartsNoNewAttempt)
 {
     const auto session = openStream();
     first_.registry->onReaderDisconnected(session->state().requestId);
-    readers_[0]->abort();
-    turnUntil([&] { return client_->openCalls() == 0; });
+    engineConnections_[0]->abort();
+    runUntil([&] { return client_->openCalls() == 0; });
     EXPECT_EQ(session->state().attempts.size(), 1U);
     EXPECT_FALSE(session->hasEnded());
 }
 
-TEST_F(StreamRegistryTest, ALeavingVmRefusesCopies)
+TEST_F(StreamRegistryTest, LeavingVmRefusesCopies)
 {
     second_.registry->startHandover();
     openStream();
@@ -379,6 +379,6 @@
     };
     first_.registry->find(session->state().requestId, "other", expectUnknown);
     second_.registry->find(session->state().requestId, "other", expectUnknown);
-    turnUntil([&] { return answers == 2; });
+    runUntil([&] { return answers == 2; });
     EXPECT_FALSE(session->hasEnded());
 }
