--- a/src/streams/internal/streamsession.cpp
+++ b/src/streams/internal/streamsession.cpp
@@ -30,15 +30,15 @@
     return routing::AttemptEnd::Failed;
 }
 
-retry::Evidence evidenceOf(const engine::EngineResult &result)
+retry::FailureKind failureKindOf(const engine::EngineResult &result)
 {
     if (!result.wasConnected) {
-        return retry::Evidence::NotSent;
+        return retry::FailureKind::NotSent;
     }
     if (result.end == engine::StreamEnd::Refused) {
-        return retry::Evidence::Refused;
+        return retry::FailureKind::Refused;
     }
-    return result.timedOut ? retry::Evidence::TimedOut : retry::Evidence::Broken;
+    return result.timedOut ? retry::FailureKind::TimedOut : retry::FailureKind::ConnectionBroken;
 }
 
 } // namespace
@@ -79,7 +79,7 @@
 
 std::optional<engine::NextAttempt> StreamSession::nextAttempt()
 {
-    const auto server = ended_ ? std::nullopt : tools_.planner->move(record_);
+    const auto server = ended_ ? std::nullopt : tools_.planner->planMove(record_);
     if (!server) {
         return std::nullopt;
     }
@@ -104,7 +104,7 @@
 
 void StreamSession::startNextAttempt()
 {
-    const retry::AttemptPlan plan = tools_.planner->next(record_);
+    const retry::AttemptPlan plan = tools_.planner->planAttempt(record_);
     if (plan.kind != retry::PlanKind::Try) {
         applyPlan(plan);
         return;
@@ -158,7 +158,7 @@
     }
     server_ = *server;
     isJoining_ = true;
-    tools_.planner->joined(record_, *server_);
+    tools_.planner->adoptAttempt(record_, *server_);
     tools_.metrics->add("streams_joined_total");
     call_ = tools_.engine->resume(*server_, state_.attempts.back().engineRequestId, state_.tokens.size(), makeHooks(++engineStream_));
 }
@@ -179,10 +179,10 @@
         return std::span<const std::string>(self->state_.tokens);
     };
     hooks.onLeft = [self = shared_from_this()](const std::string &instance, engine::StreamEnd end) {
-        self->tools_.planner->left(self->record_, instance, toAttemptEnd(end));
+        self->tools_.planner->attemptReplaced(self->record_, instance, toAttemptEnd(end));
     };
     hooks.onBroken = [self = shared_from_this()](const std::string &instance) {
-        self->tools_.planner->broken(instance);
+        self->tools_.planner->connectionBroken(instance);
     };
     return hooks;
 }
@@ -213,7 +213,7 @@
     const bool isCurrent = !ended_ && engineStream == engineStream_;
     const bool isFinal = result.end == engine::StreamEnd::Finished || result.end == engine::StreamEnd::Rejected;
     if (!isCurrent || isFinal) {
-        tools_.planner->ended(record_, result.server, toAttemptEnd(result.end));
+        tools_.planner->attemptEnded(record_, result.server, toAttemptEnd(result.end));
     }
     if (!isCurrent) {
         return;
@@ -240,8 +240,8 @@
         return;
     }
     partLogger("streams")->info("Attempt failed. request={} server={} status={} error={}", state_.requestId, result.server, result.status, result.error);
-    const retry::Evidence evidence = isUnknownToServer ? retry::Evidence::Refused : evidenceOf(result);
-    const retry::AttemptPlan plan = tools_.planner->failed(record_, result.server, evidence);
+    const retry::FailureKind failure = isUnknownToServer ? retry::FailureKind::Refused : failureKindOf(result);
+    const retry::AttemptPlan plan = tools_.planner->attemptFailed(record_, result.server, failure);
     if (isDetached_) {
         isWaitingForReader_ = true;
         return;
