--- a/src/recovery/internal/recoveringclient.cpp
+++ b/src/recovery/internal/recoveringclient.cpp
@@ -8,9 +8,10 @@
 
 namespace {
 
-/// Time to the end of a server whose notice we know only as a mark: what the platform promises at least.
+/// Time from the leaving mark of a server to its end: the mark does not say when the server ends, so this is the shortest notice
+/// that the platform guarantees.
 constexpr Duration AssumedNotice = std::chrono::seconds(2);
-constexpr int PauseTicks = 5; ///< A tick so many periods late means that this process was paused.
+constexpr int PauseThresholdTicks = 5; ///< A tick that comes after more than so many periods means that this process was paused.
 
 } // namespace
 
@@ -28,14 +29,14 @@
     const std::weak_ptr<RecoveringClient> weak = client;
     client->period_ = period;
     client->lastTick_ = loop.now();
-    client->sweepTimer_ = loop.every(period, [weak] {
+    client->tickTimer_ = loop.every(period, [weak] {
         if (const auto self = weak.lock()) {
             self->tick();
         }
     });
     client->members_->onChange([weak] {
         if (const auto self = weak.lock()) {
-            self->sweep();
+            self->checkStreams();
         }
     });
     return client;
@@ -43,27 +44,27 @@
 
 RecoveringClient::~RecoveringClient()
 {
-    loop_->cancel(sweepTimer_);
+    loop_->cancel(tickTimer_);
 }
 
 std::shared_ptr<RecoveringStream> RecoveringClient::open(engine::EngineHooks hooks, http::CallId &call)
 {
     call = nextCall_++;
     const std::weak_ptr<RecoveringClient> weak = weak_from_this();
-    const auto lookAgain = [weak, loop = loop_] {
+    const auto onTransferEnded = [weak, loop = loop_] {
         loop->post([weak] {
             if (const auto self = weak.lock()) {
-                self->sweep();
+                self->checkStreams();
             }
         });
     };
-    StreamTools tools{loop_, direct_, members_, metrics_, estimates_, silentServers_, lookAgain};
-    const auto forget = [weak, call] {
+    StreamTools tools{loop_, direct_, members_, metrics_, estimates_, stalledServers_, onTransferEnded};
+    const auto onEnded = [weak, call] {
         if (const auto self = weak.lock()) {
             self->streams_.erase(call);
         }
     };
-    auto stream = std::make_shared<RecoveringStream>(std::move(tools), std::move(hooks), forget);
+    auto stream = std::make_shared<RecoveringStream>(std::move(tools), std::move(hooks), onEnded);
     streams_[call] = stream;
     return stream;
 }
@@ -134,31 +135,31 @@
 void RecoveringClient::tick()
 {
     const TimePoint now = loop_->now();
-    const bool wasPaused = now - lastTick_ > PauseTicks * period_;
+    const bool wasPaused = now - lastTick_ > PauseThresholdTicks * period_;
     lastTick_ = now;
     if (wasPaused) {
         for (const auto &[call, stream] : streams_) {
-            stream->forgiveSilence();
+            stream->resetStallTimer();
         }
     }
-    sweep();
+    checkStreams();
 }
 
-void RecoveringClient::sweep()
+void RecoveringClient::checkStreams()
 {
     if (streams_.empty()) {
         leavingSince_.clear();
-        silentServers_->clear();
+        stalledServers_->clear();
         return;
     }
-    // A stream may end, and be forgotten, while it is looked at.
+    // A stream may end and be removed while it is checked.
     std::vector<std::shared_ptr<RecoveringStream>> streams;
     streams.reserve(streams_.size());
     for (const auto &[call, stream] : streams_) {
         streams.push_back(stream);
     }
     for (const auto &stream : streams) {
-        stream->checkSilence();
+        stream->checkStall();
         if (const auto left = reclaimLeft(stream->server())) {
             stream->checkReclaim(*left);
         }
--- a/src/recovery/internal/recoveringstream.cpp
+++ b/src/recovery/internal/recoveringstream.cpp
@@ -14,30 +14,30 @@
 
 using engine::StreamEnd;
 
-constexpr std::int64_t BytesPerToken = 4; ///< A guess, until the engine says its count.
-constexpr int IntervalWeight = 5; ///< One in so many: the weight of a new interval.
-constexpr int ResumeIntervals = 4; ///< A joined stream gives a token within so many intervals.
-constexpr Duration ResumeAnswerWait = std::chrono::milliseconds(300);
-constexpr Duration SuccessorWait = std::chrono::seconds(10);
+constexpr std::int64_t BytesPerToken = 4; ///< Estimate, until the engine reports its count.
+constexpr int IntervalSmoothing = 5; ///< Weight of a new interval in the average: one in so many.
+constexpr int ResumeIntervals = 4; ///< A resumed stream must produce a token within so many intervals.
+constexpr Duration MinResumeWait = std::chrono::milliseconds(300);
+constexpr Duration SuccessorTimeout = std::chrono::seconds(10);
 
 } // namespace
 
-RecoveringStream::RecoveringStream(StreamTools tools, engine::EngineHooks hooks, std::function<void()> forget)
+RecoveringStream::RecoveringStream(StreamTools tools, engine::EngineHooks hooks, std::function<void()> onEnded)
     : tools_(std::move(tools))
     , hooks_(std::move(hooks))
-    , forget_(std::move(forget))
-    , lastHeard_(tools_.loop->now())
+    , onEnded_(std::move(onEnded))
+    , lastProgressAt_(tools_.loop->now())
 {
 }
 
-LegId RecoveringStream::addLeg(const membership::Vm &server, const std::string &requestId, RecoveryMethod method)
+AttemptId RecoveringStream::addAttempt(const membership::Vm &server, const std::string &requestId, RecoveryMethod method)
 {
-    const LegId id = nextLeg_++;
-    Leg &leg = legs_[id];
-    leg.server = server;
-    leg.requestId = requestId;
-    leg.method = method;
-    leg.startedAt = tools_.loop->now();
+    const AttemptId id = nextAttempt_++;
+    Attempt &attempt = attempts_[id];
+    attempt.server = server;
+    attempt.requestId = requestId;
+    attempt.method = method;
+    attempt.startedAt = tools_.loop->now();
     return id;
 }
 
@@ -47,206 +47,206 @@
     promptTokens_ = static_cast<std::int64_t>(request.messagesJson.size()) / BytesPerToken + 1;
     maxTokens_ = request.maxTokens;
     const RecoveryMethod method = request.continueTokens.empty() ? RecoveryMethod::Stay : RecoveryMethod::Recompute;
-    machine_.current = addLeg(server, request.requestId, method);
-    startLeg(machine_.current, request);
+    machine_.current = addAttempt(server, request.requestId, method);
+    startAttempt(machine_.current, request);
 }
 
 void RecoveringStream::join(const membership::Vm &server, const std::string &requestId, std::uint64_t position)
 {
     machine_.position = position;
     machine_.resumeTried = true;
-    machine_.current = addLeg(server, requestId, RecoveryMethod::Stay);
-    Leg &leg = legs_[machine_.current];
-    leg.hasToken = position > 0;
-    leg.call = tools_.direct->resume(server, requestId, position, connectionHooks(machine_.current));
+    machine_.current = addAttempt(server, requestId, RecoveryMethod::Stay);
+    Attempt &attempt = attempts_[machine_.current];
+    attempt.hasToken = position > 0;
+    attempt.call = tools_.direct->resume(server, requestId, position, connectionHooks(machine_.current));
 }
 
-void RecoveringStream::startLeg(LegId id, const engine::EngineRequest &request)
+void RecoveringStream::startAttempt(AttemptId id, const engine::EngineRequest &request)
 {
-    Leg &leg = legs_[id];
-    leg.startedAt = tools_.loop->now();
-    leg.continuedTokens = static_cast<std::int64_t>(request.continueTokens.size());
-    if (leg.method == RecoveryMethod::Recompute) {
-        leg.prefillGuess = promptTokens_ + leg.continuedTokens;
-        tools_.estimates->prefillTokensInFlight += leg.prefillGuess;
+    Attempt &attempt = attempts_[id];
+    attempt.startedAt = tools_.loop->now();
+    attempt.continuedTokens = static_cast<std::int64_t>(request.continueTokens.size());
+    if (attempt.method == RecoveryMethod::Recompute) {
+        attempt.estimatedPrefillTokens = promptTokens_ + attempt.continuedTokens;
+        tools_.estimates->prefillTokensInFlight += attempt.estimatedPrefillTokens;
     }
-    leg.call = tools_.direct->start(leg.server, request, connectionHooks(id));
+    attempt.call = tools_.direct->start(attempt.server, request, connectionHooks(id));
 }
 
-engine::EngineHooks RecoveringStream::connectionHooks(LegId id)
+engine::EngineHooks RecoveringStream::connectionHooks(AttemptId id)
 {
     const std::uint64_t connection = nextConnection_++;
-    legs_[id].connection = connection;
+    attempts_[id].connection = connection;
     engine::EngineHooks hooks;
-    // NOTE A connection that was closed or replaced may still report; only the leg's last one is listened to.
+    // NOTE A connection that was closed or replaced may still report events; only those of the attempt's last one are handled.
     hooks.onToken = [self = shared_from_this(), id, connection](const engine::Token &token) {
-        if (self->listening(id, connection)) {
-            self->legToken(id, token);
+        if (self->findActive(id, connection)) {
+            self->handleToken(id, token);
         }
     };
     hooks.onUsage = [self = shared_from_this(), id, connection](std::int64_t promptTokens, std::int64_t cachedTokens) {
-        if (self->listening(id, connection)) {
-            self->legUsage(id, promptTokens, cachedTokens);
+        if (self->findActive(id, connection)) {
+            self->handleUsage(id, promptTokens, cachedTokens);
         }
     };
     hooks.onEnd = [self = shared_from_this(), id, connection](const engine::EngineResult &result) {
-        if (self->listening(id, connection)) {
-            self->legEnd(id, result);
+        if (self->findActive(id, connection)) {
+            self->handleEnd(id, result);
         }
     };
     return hooks;
 }
 
-RecoveringStream::Leg *RecoveringStream::listening(LegId id, std::uint64_t connection)
+RecoveringStream::Attempt *RecoveringStream::findActive(AttemptId id, std::uint64_t connection)
 {
-    const auto found = legs_.find(id);
-    if (machine_.ended || found == legs_.end() || found->second.connection != connection) {
+    const auto found = attempts_.find(id);
+    if (machine_.ended || found == attempts_.end() || found->second.connection != connection) {
         return nullptr;
     }
     return &found->second;
 }
 
-void RecoveringStream::legToken(LegId id, const engine::Token &token)
+void RecoveringStream::handleToken(AttemptId id, const engine::Token &token)
 {
-    const StreamStep step = onToken(machine_, id, token.position);
-    lastEvent_ = id;
+    const StreamActions actions = onToken(machine_, id, token.position);
+    eventSource_ = id;
     const auto self = shared_from_this();
-    apply(step);
-    if (const auto found = legs_.find(id); found != legs_.end() && id == machine_.current) {
-        noteToken(found->second);
+    apply(actions);
+    if (const auto found = attempts_.find(id); found != attempts_.end() && id == machine_.current) {
+        recordToken(found->second);
     }
-    if (step.forward) {
+    if (actions.forward) {
         hooks_.onToken(token);
     }
 }
 
-void RecoveringStream::noteToken(Leg &leg)
+void RecoveringStream::recordToken(Attempt &attempt)
 {
     const TimePoint now = tools_.loop->now();
-    tools_.silentServers->erase(leg.server.instance);
-    if (leg.hasToken && !resuming_) {
-        const auto interval = std::chrono::duration_cast<Duration>(now - lastHeard_);
-        betweenTokens_ += (interval - betweenTokens_) / (betweenTokens_.count() == 0 ? 1 : IntervalWeight);
+    tools_.stalledServers->erase(attempt.server.instance);
+    if (attempt.hasToken && !isResuming_) {
+        const auto interval = std::chrono::duration_cast<Duration>(now - lastProgressAt_);
+        betweenTokens_ += (interval - betweenTokens_) / (betweenTokens_.count() == 0 ? 1 : IntervalSmoothing);
     }
-    if (!leg.hasToken) {
-        tools_.estimates->prefillTokensInFlight -= std::exchange(leg.prefillGuess, 0);
-        learnPrefill(*tools_.estimates, leg.uncachedTokens, std::chrono::duration_cast<Duration>(now - leg.startedAt) - betweenTokens_);
-        if (leg.method != RecoveryMethod::Stay) {
-            tools_.metrics->add(fmt::format("streams_moved_total{{how=\"{}\"}}", recoveryMethodName(leg.method)));
+    if (!attempt.hasToken) {
+        tools_.estimates->prefillTokensInFlight -= std::exchange(attempt.estimatedPrefillTokens, 0);
+        recordPrefill(*tools_.estimates, attempt.uncachedTokens, std::chrono::duration_cast<Duration>(now - attempt.startedAt) - betweenTokens_);
+        if (attempt.method != RecoveryMethod::Stay) {
+            tools_.metrics->add(fmt::format("streams_moved_total{{how=\"{}\"}}", recoveryMethodName(attempt.method)));
         }
     }
-    if (std::exchange(resuming_, false)) {
+    if (std::exchange(isResuming_, false)) {
         tools_.metrics->add(fmt::format("streams_moved_total{{how=\"{}\"}}", recoveryMethodName(RecoveryMethod::Resume)));
     }
-    leg.hasToken = true;
-    lastHeard_ = now;
+    attempt.hasToken = true;
+    lastProgressAt_ = now;
 }
 
-void RecoveringStream::legUsage(LegId id, std::int64_t promptTokens, std::int64_t cachedTokens)
+void RecoveringStream::handleUsage(AttemptId id, std::int64_t promptTokens, std::int64_t cachedTokens)
 {
-    Leg &leg = legs_[id];
+    Attempt &attempt = attempts_[id];
     promptTokens_ = promptTokens;
-    leg.uncachedTokens = std::max<std::int64_t>(0, promptTokens + leg.continuedTokens - cachedTokens);
-    if (leg.continuedTokens == 0 || std::exchange(leg.hasUsage, true)) {
+    attempt.uncachedTokens = std::max<std::int64_t>(0, promptTokens + attempt.continuedTokens - cachedTokens);
+    if (attempt.continuedTokens == 0 || std::exchange(attempt.hasUsage, true)) {
         return;
     }
-    tools_.metrics->add("tokens_recomputed_total", static_cast<std::uint64_t>(leg.uncachedTokens));
-    if (leg.method == RecoveryMethod::Recompute) {
-        learnCachedShare(*tools_.estimates, promptTokens, cachedTokens);
+    tools_.metrics->add("tokens_recomputed_total", static_cast<std::uint64_t>(attempt.uncachedTokens));
+    if (attempt.method == RecoveryMethod::Recompute) {
+        recordCachedShare(*tools_.estimates, promptTokens, cachedTokens);
     }
 }
 
-void RecoveringStream::legEnd(LegId id, const engine::EngineResult &result)
+void RecoveringStream::handleEnd(AttemptId id, const engine::EngineResult &result)
 {
-    Leg &leg = legs_[id];
-    leg.result = result;
-    // A refused attempt to join it again does not undo that it ran.
-    leg.result.wasConnected = result.wasConnected || leg.hasToken;
-    leg.hasEnded = true;
-    leg.connection = 0;
-    lastEvent_ = id;
+    Attempt &attempt = attempts_[id];
+    attempt.result = result;
+    // If a resume is refused, the attempt has still run.
+    attempt.result.wasConnected = result.wasConnected || attempt.hasToken;
+    attempt.hasEnded = true;
+    attempt.connection = 0;
+    eventSource_ = id;
     failedMoves_ += id == machine_.successor ? 1 : 0;
-    const std::string instance = leg.server.instance;
+    const std::string instance = attempt.server.instance;
     if (result.end == StreamEnd::Broken && !result.timedOut && hooks_.onBroken) {
         hooks_.onBroken(instance);
     }
-    apply(onLegEnd(machine_, id, result.end));
+    apply(onAttemptEnd(machine_, id, result.end));
     if (!machine_.ended && id != machine_.current) {
-        dropLeg(id, result.end);
+        removeAttempt(id, result.end);
     }
     if (result.isLeaving) {
         tools_.members->markLeaving(instance, membership::LeavingSource::Answer);
     }
 }
 
-void RecoveringStream::legStalled(LegId id)
+void RecoveringStream::handleStall(AttemptId id)
 {
-    Leg &leg = legs_[id];
+    Attempt &attempt = attempts_[id];
     tools_.metrics->add("streams_silent_total");
-    if (leg.hasToken) {
-        tools_.silentServers->emplace(leg.server.instance, tools_.loop->now());
+    if (attempt.hasToken) {
+        tools_.stalledServers->emplace(attempt.server.instance, tools_.loop->now());
     }
-    partLogger("recovery")->info("A stream is silent. server={} attempt={}", leg.server.instance, leg.requestId);
-    leg.result.end = StreamEnd::Broken;
-    leg.result.wasConnected = true;
-    leg.result.timedOut = true;
-    leg.result.error = "silent";
-    leg.hasEnded = true;
+    partLogger("recovery")->info("Stream stalled. server={} attempt={}", attempt.server.instance, attempt.requestId);
+    attempt.result.end = StreamEnd::Broken;
+    attempt.result.wasConnected = true;
+    attempt.result.timedOut = true;
+    attempt.result.error = "stalled";
+    attempt.hasEnded = true;
     failedMoves_ += id == machine_.successor ? 1 : 0;
-    lastEvent_ = id;
+    eventSource_ = id;
     apply(onStalled(machine_, id));
 }
 
-void RecoveringStream::apply(const StreamStep &step)
+void RecoveringStream::apply(const StreamActions &actions)
 {
     const auto self = shared_from_this();
-    for (const LegId id : step.cancel) {
-        if (step.end && id == lastEvent_) {
-            // Reported with the end of the stream.
-            tools_.direct->cancel(legs_[id].server, legs_[id].requestId, legs_[id].call);
+    for (const AttemptId id : actions.cancel) {
+        if (actions.end && id == eventSource_) {
+            // Not removed here: finish() reports its result.
+            tools_.direct->cancel(attempts_[id].server, attempts_[id].requestId, attempts_[id].call);
             continue;
         }
-        cancelLeg(id);
+        cancelAttempt(id);
     }
-    if (step.switched) {
+    if (actions.switched) {
         failedMoves_ = 0;
-        resuming_ = false;
+        isResuming_ = false;
     }
-    if (step.resume) {
+    if (actions.resume) {
         resumeCurrent();
     }
-    if (step.prepareMove) {
+    if (actions.prepareMove) {
         prepareMove();
     }
-    if (step.end) {
-        finish(*step.end);
+    if (actions.end) {
+        finish(*actions.end);
     }
-    if (isExporting_ && machine_.current == NoLeg) {
-        // The cache went with its server.
+    if (isExporting_ && machine_.current == NoAttempt) {
+        // The current attempt was lost during the export, and its cache with it.
         isExporting_ = false;
-        startSuccessor(prepared_, {});
+        startSuccessor(preparedAttempt_, {});
     }
 }
 
-void RecoveringStream::cancelLeg(LegId id)
+void RecoveringStream::cancelAttempt(AttemptId id)
 {
-    const Leg &leg = legs_[id];
-    const StreamEnd end = leg.hasEnded ? leg.result.end : StreamEnd::Cancelled;
-    if (leg.call != 0) {
-        tools_.direct->cancel(leg.server, leg.requestId, leg.call);
+    const Attempt &attempt = attempts_[id];
+    const StreamEnd end = attempt.hasEnded ? attempt.result.end : StreamEnd::Cancelled;
+    if (attempt.call != 0) {
+        tools_.direct->cancel(attempt.server, attempt.requestId, attempt.call);
     }
-    dropLeg(id, end);
+    removeAttempt(id, end);
 }
 
-void RecoveringStream::dropLeg(LegId id, StreamEnd end)
+void RecoveringStream::removeAttempt(AttemptId id, StreamEnd end)
 {
-    const auto found = legs_.find(id);
-    if (found == legs_.end()) {
+    const auto found = attempts_.find(id);
+    if (found == attempts_.end()) {
         return;
     }
     const std::string instance = found->second.server.instance;
-    tools_.estimates->prefillTokensInFlight -= found->second.prefillGuess;
-    legs_.erase(found);
+    tools_.estimates->prefillTokensInFlight -= found->second.estimatedPrefillTokens;
+    attempts_.erase(found);
     if (hooks_.onLeft) {
         hooks_.onLeft(instance, end);
     }
@@ -254,55 +254,55 @@
 
 void RecoveringStream::resumeCurrent()
 {
-    Leg &leg = legs_[machine_.current];
-    if (leg.connection != 0) {
-        leg.connection = 0;
-        tools_.direct->leave(leg.call);
+    Attempt &attempt = attempts_[machine_.current];
+    if (attempt.connection != 0) {
+        attempt.connection = 0;
+        tools_.direct->leave(attempt.call);
     }
-    leg.hasEnded = false;
-    resuming_ = true;
-    lastHeard_ = tools_.loop->now();
-    leg.call = tools_.direct->resume(leg.server, leg.requestId, machine_.position, connectionHooks(machine_.current));
+    attempt.hasEnded = false;
+    isResuming_ = true;
+    lastProgressAt_ = tools_.loop->now();
+    attempt.call = tools_.direct->resume(attempt.server, attempt.requestId, machine_.position, connectionHooks(machine_.current));
 }
 
 std::string RecoveringStream::server() const
 {
-    const auto found = legs_.find(machine_.current);
-    return found == legs_.end() || machine_.ended ? std::string() : found->second.server.instance;
+    const auto found = attempts_.find(machine_.current);
+    return found == attempts_.end() || machine_.ended ? std::string() : found->second.server.instance;
 }
 
-void RecoveringStream::checkSilence()
+void RecoveringStream::checkStall()
 {
     const TimePoint now = tools_.loop->now();
-    if (const auto found = legs_.find(machine_.successor); found != legs_.end() && now - found->second.startedAt > SuccessorWait) {
-        legStalled(machine_.successor);
+    if (const auto found = attempts_.find(machine_.successor); found != attempts_.end() && now - found->second.startedAt > SuccessorTimeout) {
+        handleStall(machine_.successor);
     }
-    const auto found = legs_.find(machine_.current);
-    if (machine_.ended || found == legs_.end()) {
+    const auto found = attempts_.find(machine_.current);
+    if (machine_.ended || found == attempts_.end()) {
         return;
     }
-    if (now - lastHeard_ > silenceLimit(found->second)) {
-        legStalled(machine_.current);
+    if (now - lastProgressAt_ > currentStallLimit(found->second)) {
+        handleStall(machine_.current);
     }
 }
 
-Duration RecoveringStream::silenceLimit(const Leg &leg) const
+Duration RecoveringStream::currentStallLimit(const Attempt &attempt) const
 {
-    if (resuming_) {
-        return std::max(ResumeAnswerWait, ResumeIntervals * betweenTokens_);
+    if (isResuming_) {
+        return std::max(MinResumeWait, ResumeIntervals * betweenTokens_);
     }
-    // A stream that waits for its first token may wait in a queue, unless others find the server silent too.
-    return stallLimit(betweenTokens_, leg.hasToken || tools_.silentServers->contains(leg.server.instance));
+    // Before the first token, the request may be queued at the server, unless other streams stalled at the same server.
+    return stallLimit(betweenTokens_, attempt.hasToken || tools_.stalledServers->contains(attempt.server.instance));
 }
 
-void RecoveringStream::forgiveSilence()
+void RecoveringStream::resetStallTimer()
 {
-    lastHeard_ = tools_.loop->now();
+    lastProgressAt_ = tools_.loop->now();
 }
 
 void RecoveringStream::cancel()
 {
-    lastEvent_ = machine_.current;
+    eventSource_ = machine_.current;
     apply(onCancel(machine_));
 }
 
@@ -313,41 +313,41 @@
     }
     machine_.ended = true;
     isExporting_ = false;
-    const LegId last = legs_.empty() ? NoLeg : legs_.rbegin()->first;
-    for (auto &[id, leg] : legs_) {
-        if (leg.call == 0) {
+    const AttemptId last = attempts_.empty() ? NoAttempt : attempts_.rbegin()->first;
+    for (auto &[id, attempt] : attempts_) {
+        if (attempt.call == 0) {
             continue;
         }
-        // NOTE The VM that goes on joins the attempt chosen last; an older one would run for nobody.
+        // NOTE The VM that takes over resumes the attempt chosen last; nobody would read an older one.
         if (id == last) {
-            tools_.direct->leave(leg.call);
+            tools_.direct->leave(attempt.call);
         } else {
-            tools_.direct->cancel(leg.server, leg.requestId, leg.call);
+            tools_.direct->cancel(attempt.server, attempt.requestId, attempt.call);
         }
     }
-    lastEvent_ = machine_.current;
+    eventSource_ = machine_.current;
     finish(StreamEnd::Cancelled);
 }
 
 void RecoveringStream::finish(StreamEnd end)
 {
     isExporting_ = false;
-    prepared_ = NoLeg;
+    preparedAttempt_ = NoAttempt;
     engine::EngineResult result;
-    if (const auto found = legs_.find(lastEvent_); found != legs_.end()) {
+    if (const auto found = attempts_.find(eventSource_); found != attempts_.end()) {
         result = found->second.result;
         result.server = found->second.server.instance;
-        tools_.estimates->prefillTokensInFlight -= found->second.prefillGuess;
-        legs_.erase(found);
+        tools_.estimates->prefillTokensInFlight -= found->second.estimatedPrefillTokens;
+        attempts_.erase(found);
     }
     result.end = end;
-    while (!legs_.empty()) {
-        dropLeg(legs_.begin()->first, StreamEnd::Cancelled);
+    while (!attempts_.empty()) {
+        removeAttempt(attempts_.begin()->first, StreamEnd::Cancelled);
     }
     const auto self = shared_from_this();
-    // Never from inside a call of the owner.
+    // Posted, so that onEnd is never called inside a call of the owner.
     tools_.loop->post([self, result = std::move(result)] {
-        self->forget_();
+        self->onEnded_();
         self->hooks_.onEnd(result);
         self->hooks_ = {};
     });
--- a/src/recovery/internal/recoveringstream.h
+++ b/src/recovery/internal/recoveringstream.h
@@ -15,97 +15,97 @@
 
 namespace cardamomlift::recovery {
 
-/// Servers that a stream in the middle of its answer found silent, since when; a token of theirs clears them.
-using SilentServers = std::map<std::string, TimePoint>;
+/// Servers at which a stream stalled in the middle of its answer, with the time. Cleared by any token of the server.
+using StalledServers = std::map<std::string, TimePoint>;
 
-/// What a stream works with; shared by all streams of a client.
+/// Dependencies of a RecoveringStream; shared by all streams of a client.
 struct StreamTools {
     EventLoop *loop = nullptr;
     std::shared_ptr<engine::EngineClient> direct;
     std::shared_ptr<membership::Members> members;
     std::shared_ptr<metrics::Metrics> metrics;
     std::shared_ptr<RecoveryEstimates> estimates;
-    std::shared_ptr<SilentServers> silentServers;
-    std::function<void()> lookAgain; ///< A transfer has ended: another stream may start one.
+    std::shared_ptr<StalledServers> stalledServers;
+    std::function<void()> onTransferEnded; ///< Called when a transfer has ended, so that another stream may start one.
 };
 
-/// One stream of a RecoveringClient: carries out the steps of its StreamMachine.
+/// One stream of a RecoveringClient: carries out the actions of its StreamMachine.
 class RecoveringStream : public std::enable_shared_from_this<RecoveringStream>
 {
 public:
-    /// @p forget is called when the stream has ended.
-    RecoveringStream(StreamTools tools, engine::EngineHooks hooks, std::function<void()> forget);
+    /// @p onEnded is called when the stream has ended, just before hooks.onEnd.
+    RecoveringStream(StreamTools tools, engine::EngineHooks hooks, std::function<void()> onEnded);
 
     void start(const membership::Vm &server, const engine::EngineRequest &request);
     void join(const membership::Vm &server, const std::string &requestId, std::uint64_t position);
     void cancel();
-    /// Ends here; the attempt that was chosen last goes on at its engine.
+    /// Ends the stream here, but leaves the attempt that was chosen last running at its engine.
     void leave();
     /// Instance of the current server; empty if there is none.
     std::string server() const;
-    void checkSilence();
-    /// This process itself was paused: the silence until now is no sign.
-    void forgiveSilence();
-    /// The current server is leaving and gone in @p left.
+    void checkStall();
+    /// Restarts the stall timer: this process was paused, so the time without tokens says nothing about the server.
+    void resetStallTimer();
+    /// Prepares a move if needed: the current server is leaving and will be gone in @p left.
     void checkReclaim(Duration left);
 
 private:
-    /// One attempt at one server.
-    struct Leg {
+    /// An attempt at one server.
+    struct Attempt {
         membership::Vm server;
         std::string requestId;
         http::CallId call = 0;
-        std::uint64_t connection = 0; ///< Number of the connection we listen to; 0: none.
-        RecoveryMethod method = RecoveryMethod::Stay; ///< How it came to be; Stay: the first attempt.
-        engine::EngineRequest request; ///< Of a leg that waits to be started.
-        std::int64_t continuedTokens = 0;
-        std::int64_t prefillGuess = 0; ///< Counted in prefillTokensInFlight until the first token.
-        std::int64_t uncachedTokens = 0; ///< Computed before the first token, as the engine said.
+        std::uint64_t connection = 0; ///< Number of the connection whose events are handled; 0: none.
+        RecoveryMethod method = RecoveryMethod::Stay; ///< Why it was started; Stay for the first attempt.
+        engine::EngineRequest request; ///< Of an attempt that is not started yet.
+        std::int64_t continuedTokens = 0; ///< Output tokens that the request continued from.
+        std::int64_t estimatedPrefillTokens = 0; ///< Counted in prefillTokensInFlight until the first token.
+        std::int64_t uncachedTokens = 0; ///< Prefilled before the first token, as reported by the engine.
         TimePoint startedAt{};
-        engine::EngineResult result; ///< Of its last connection.
+        engine::EngineResult result; ///< Result of its last connection.
         bool hasEnded = false;
         bool hasToken = false;
         bool hasUsage = false;
     };
-    LegId addLeg(const membership::Vm &server, const std::string &requestId, RecoveryMethod method);
-    void startLeg(LegId id, const engine::EngineRequest &request);
-    engine::EngineHooks connectionHooks(LegId id);
-    Leg *listening(LegId id, std::uint64_t connection);
-    void legToken(LegId id, const engine::Token &token);
-    void legUsage(LegId id, std::int64_t promptTokens, std::int64_t cachedTokens);
-    void legEnd(LegId id, const engine::EngineResult &result);
-    void legStalled(LegId id);
-    void noteToken(Leg &leg);
-    Duration silenceLimit(const Leg &leg) const;
-    void apply(const StreamStep &step);
-    void cancelLeg(LegId id);
-    void dropLeg(LegId id, engine::StreamEnd end);
+    AttemptId addAttempt(const membership::Vm &server, const std::string &requestId, RecoveryMethod method);
+    void startAttempt(AttemptId id, const engine::EngineRequest &request);
+    engine::EngineHooks connectionHooks(AttemptId id);
+    Attempt *findActive(AttemptId id, std::uint64_t connection);
+    void handleToken(AttemptId id, const engine::Token &token);
+    void handleUsage(AttemptId id, std::int64_t promptTokens, std::int64_t cachedTokens);
+    void handleEnd(AttemptId id, const engine::EngineResult &result);
+    void handleStall(AttemptId id);
+    void recordToken(Attempt &attempt);
+    Duration currentStallLimit(const Attempt &attempt) const;
+    void apply(const StreamActions &actions);
+    void cancelAttempt(AttemptId id);
+    void removeAttempt(AttemptId id, engine::StreamEnd end);
     void resumeCurrent();
     void prepareMove();
-    void exportFrom(LegId from, LegId to);
-    void importInto(LegId to, const std::string &fromRequestId, std::string cache, TimePoint since, std::int64_t beside);
-    void startSuccessor(LegId id, const std::string &kvFrom);
+    void exportKvFrom(AttemptId from, AttemptId to);
+    void importKvInto(AttemptId to, const std::string &fromRequestId, std::string cache, TimePoint since, std::int64_t concurrentBytes);
+    void startSuccessor(AttemptId id, const std::string &kvFrom);
     void endTransfer(std::int64_t bytes);
     void finish(engine::StreamEnd end);
     RecoveryInputs inputs(Duration left) const;
-    std::int64_t tokensKnown() const;
+    std::int64_t contextTokens() const;
     StreamTools tools_;
     engine::EngineHooks hooks_;
-    std::function<void()> forget_;
+    std::function<void()> onEnded_;
     StreamMachine machine_;
-    std::map<LegId, Leg> legs_;
-    LegId nextLeg_ = 1;
-    LegId prepared_ = NoLeg; ///< Chosen as the next server, not yet started.
-    LegId lastEvent_ = NoLeg; ///< Whose event is being handled.
+    std::map<AttemptId, Attempt> attempts_;
+    AttemptId nextAttempt_ = 1;
+    AttemptId preparedAttempt_ = NoAttempt; ///< The attempt at the next server, not started yet.
+    AttemptId eventSource_ = NoAttempt; ///< Attempt whose event is being handled.
     std::uint64_t nextConnection_ = 1;
     std::int64_t promptTokens_ = 0;
-    std::int64_t maxTokens_ = 0; ///< 0: unknown.
+    std::int64_t maxTokens_ = 0; ///< 0 if unknown.
     RecoveryMethod moveMethod_ = RecoveryMethod::Recompute;
-    int failedMoves_ = 0; ///< Since the last switch.
+    int failedMoves_ = 0; ///< Since the stream last switched to a successor.
     Duration betweenTokens_{0};
-    TimePoint lastHeard_{};
-    bool isExporting_ = false; ///< The current leg's cache, for prepared_.
-    bool resuming_ = false; ///< Joined again, and no token yet.
+    TimePoint lastProgressAt_{};
+    bool isExporting_ = false; ///< The current attempt's cache is being exported for preparedAttempt_.
+    bool isResuming_ = false; ///< Resumed, and no token received yet.
 };
 
 } // namespace cardamomlift::recovery
--- a/src/recovery/internal/recoveringstreammove.cpp
+++ b/src/recovery/internal/recoveringstreammove.cpp
@@ -1,4 +1,4 @@
-// The move of a RecoveringStream from a server that is leaving to its successor.
+// The part of RecoveringStream that moves a stream from a server that is leaving to another one.
 
 #include "recovery/internal/recoveringstream.h"
 
@@ -10,15 +10,15 @@
 
 namespace {
 
-constexpr int MostFailedMoves = 4;
+constexpr int MaxFailedMoves = 4;
 constexpr Duration TransferTimeout = std::chrono::seconds(5);
 
 } // namespace
 
 void RecoveringStream::checkReclaim(Duration left)
 {
-    const bool isBusy = machine_.isPreparing || machine_.successor != NoLeg || machine_.current == NoLeg;
-    if (machine_.ended || isBusy || !hooks_.onMove || !hooks_.soFar || failedMoves_ >= MostFailedMoves) {
+    const bool isBusy = machine_.isPreparing || machine_.successor != NoAttempt || machine_.current == NoAttempt;
+    if (machine_.ended || isBusy || !hooks_.onMove || !hooks_.soFar || failedMoves_ >= MaxFailedMoves) {
         return;
     }
     const RecoveryPlan plan = planRecovery(inputs(left));
@@ -26,7 +26,7 @@
         return;
     }
     const RecoveryEstimates &estimates = *tools_.estimates;
-    const std::int64_t bytes = expectedKvBytes(estimates, tokensKnown());
+    const std::int64_t bytes = expectedKvBytes(estimates, contextTokens());
     const bool mayTransfer = canStartTransfer(bytes, estimates.kvBytesInFlight, estimates.transfersInFlight, estimates.isKvRateKnown);
     if (plan.method == RecoveryMethod::MoveKv && !mayTransfer) {
         return;
@@ -38,15 +38,15 @@
 RecoveryInputs RecoveringStream::inputs(Duration left) const
 {
     const RecoveryEstimates &estimates = *tools_.estimates;
-    const Leg &leg = legs_.at(machine_.current);
+    const Attempt &attempt = attempts_.at(machine_.current);
     RecoveryInputs inputs;
     inputs.promptTokens = promptTokens_;
     inputs.tokensSoFar = static_cast<std::int64_t>(machine_.position);
-    if (maxTokens_ > 0 && leg.hasToken) {
+    if (maxTokens_ > 0 && attempt.hasToken) {
         inputs.tokensLeft = maxTokens_ - inputs.tokensSoFar;
     }
     inputs.resumeTried = machine_.resumeTried;
-    inputs.serverAnswers = !resuming_;
+    inputs.serverAnswers = !isResuming_;
     inputs.reclaimLeft = left;
     inputs.betweenTokens = betweenTokens_;
     inputs.cachedShareAtTarget = estimates.cachedShare;
@@ -56,11 +56,11 @@
     inputs.kvBytesPerToken = estimates.kvBytesPerToken;
     inputs.kvBytesPerMs = estimates.kvBytesPerMs;
     inputs.kvQueueBytes = estimates.kvBytesInFlight;
-    inputs.canMoveKv = leg.hasToken && expectedKvBytes(estimates, tokensKnown()) <= MaxTransferBytes;
+    inputs.canMoveKv = attempt.hasToken && expectedKvBytes(estimates, contextTokens()) <= MaxTransferBytes;
     return inputs;
 }
 
-std::int64_t RecoveringStream::tokensKnown() const
+std::int64_t RecoveringStream::contextTokens() const
 {
     return promptTokens_ + static_cast<std::int64_t>(machine_.position);
 }
@@ -70,28 +70,29 @@
     const auto next = hooks_.onMove();
     if (!next) {
         failedMoves_++;
-        apply(onMovePrepared(machine_, NoLeg));
+        apply(onMovePrepared(machine_, NoAttempt));
         return;
     }
-    prepared_ = addLeg(next->server, next->request.requestId, moveMethod_);
-    legs_[prepared_].request = next->request;
+    preparedAttempt_ = addAttempt(next->server, next->request.requestId, moveMethod_);
+    attempts_[preparedAttempt_].request = next->request;
     if (moveMethod_ == RecoveryMethod::MoveKv) {
-        exportFrom(machine_.current, prepared_);
+        exportKvFrom(machine_.current, preparedAttempt_);
     } else {
-        startSuccessor(prepared_, {});
+        startSuccessor(preparedAttempt_, {});
     }
 }
 
-void RecoveringStream::exportFrom(LegId from, LegId to)
+void RecoveringStream::exportKvFrom(AttemptId from, AttemptId to)
 {
     RecoveryEstimates &estimates = *tools_.estimates;
-    const std::int64_t bytes = expectedKvBytes(estimates, tokensKnown()) + 1;
-    const std::int64_t beside = estimates.kvBytesInFlight;
+    const std::int64_t bytes = expectedKvBytes(estimates, contextTokens()) + 1;
+    const std::int64_t concurrentBytes = estimates.kvBytesInFlight;
     estimates.kvBytesInFlight += bytes;
     estimates.transfersInFlight++;
     isExporting_ = true;
-    const Leg &leg = legs_[from];
-    const auto done = [self = shared_from_this(), to, bytes, beside, since = tools_.loop->now(), requestId = leg.requestId](std::optional<std::string> cache) {
+    const Attempt &attempt = attempts_[from];
+    const auto done = [self = shared_from_this(), to, bytes, concurrentBytes, since = tools_.loop->now(), requestId = attempt.requestId](
+                          std::optional<std::string> cache) {
         self->endTransfer(bytes);
         if (self->machine_.ended || !std::exchange(self->isExporting_, false)) {
             return;
@@ -100,48 +101,48 @@
             self->startSuccessor(to, {});
             return;
         }
-        self->importInto(to, requestId, std::move(*cache), since, beside);
+        self->importKvInto(to, requestId, std::move(*cache), since, concurrentBytes);
     };
-    tools_.direct->exportKv(leg.server, leg.requestId, static_cast<std::size_t>(MaxTransferBytes), TransferTimeout, done);
+    tools_.direct->exportKv(attempt.server, attempt.requestId, static_cast<std::size_t>(MaxTransferBytes), TransferTimeout, done);
 }
 
-void RecoveringStream::importInto(LegId to, const std::string &fromRequestId, std::string cache, TimePoint since, std::int64_t beside)
+void RecoveringStream::importKvInto(AttemptId to, const std::string &fromRequestId, std::string cache, TimePoint since, std::int64_t concurrentBytes)
 {
     const auto bytes = static_cast<std::int64_t>(cache.size());
     tools_.estimates->kvBytesInFlight += bytes;
     tools_.estimates->transfersInFlight++;
-    const std::int64_t tokens = tokensKnown();
-    const auto done = [self = shared_from_this(), to, bytes, beside, since, tokens, fromRequestId](bool accepted) {
+    const std::int64_t tokens = contextTokens();
+    const auto done = [self = shared_from_this(), to, bytes, concurrentBytes, since, tokens, fromRequestId](bool accepted) {
         self->endTransfer(bytes);
         if (self->machine_.ended) {
             return;
         }
         if (accepted) {
             const auto took = std::chrono::duration_cast<Duration>(self->tools_.loop->now() - since);
-            learnTransfer(*self->tools_.estimates, tokens, bytes, beside, took);
+            recordTransfer(*self->tools_.estimates, tokens, bytes, concurrentBytes, took);
         }
         self->startSuccessor(to, accepted ? fromRequestId : std::string());
     };
-    tools_.direct->importKv(legs_[to].server, fromRequestId, std::move(cache), TransferTimeout, done);
+    tools_.direct->importKv(attempts_[to].server, fromRequestId, std::move(cache), TransferTimeout, done);
 }
 
 void RecoveringStream::endTransfer(std::int64_t bytes)
 {
     tools_.estimates->kvBytesInFlight -= bytes;
     tools_.estimates->transfersInFlight--;
-    tools_.lookAgain();
+    tools_.onTransferEnded();
 }
 
-void RecoveringStream::startSuccessor(LegId id, const std::string &kvFrom)
+void RecoveringStream::startSuccessor(AttemptId id, const std::string &kvFrom)
 {
-    Leg &leg = legs_[id];
-    leg.method = kvFrom.empty() ? RecoveryMethod::Recompute : RecoveryMethod::MoveKv;
-    engine::EngineRequest request = std::move(leg.request);
+    Attempt &attempt = attempts_[id];
+    attempt.method = kvFrom.empty() ? RecoveryMethod::Recompute : RecoveryMethod::MoveKv;
+    engine::EngineRequest request = std::move(attempt.request);
     const auto soFar = hooks_.soFar();
     request.continueTokens.assign(soFar.begin(), soFar.end());
     request.kvFrom = kvFrom;
-    prepared_ = NoLeg;
-    startLeg(id, request);
+    preparedAttempt_ = NoAttempt;
+    startAttempt(id, request);
     apply(onMovePrepared(machine_, id));
 }
 
--- a/src/recovery/internal/recoverydecision.cpp
+++ b/src/recovery/internal/recoverydecision.cpp
@@ -6,15 +6,15 @@
 
 namespace {
 
-constexpr double FinishMargin = 1.25; ///< Streams slow down as batches grow.
-constexpr double TransferShare = 0.1; ///< A transfer uses links and memory, not the compute units.
-constexpr double GapWeight = 1.0; ///< A millisecond over the gap target weighs as one of accelerator time.
+constexpr double FinishMargin = 1.25; ///< Factor on the time to finish: streams slow down as batches grow.
+constexpr double TransferShare = 0.1; ///< Weight of transfer time: a transfer uses network and memory, not the compute units.
+constexpr double GapWeight = 1.0; ///< A millisecond over the gap target costs as much as one of accelerator time.
 constexpr Duration TransferMargin = std::chrono::milliseconds(100);
-constexpr Duration FirstTransfer = std::chrono::milliseconds(500); ///< Time wanted for a transfer of unknown rate.
+constexpr Duration FirstTransferBudget = std::chrono::milliseconds(500); ///< Time required for a transfer while the rate is unknown.
 constexpr Duration ReconnectGap = std::chrono::milliseconds(2);
-constexpr Duration BetweenTokensTarget = std::chrono::milliseconds(76);
-constexpr int StalledIntervals = 20;
-constexpr Duration LongestStall = std::chrono::seconds(10);
+constexpr Duration TargetTokenInterval = std::chrono::milliseconds(76);
+constexpr int StallIntervals = 20;
+constexpr Duration MaxStall = std::chrono::seconds(10);
 constexpr double MicrosPerMilli = 1000;
 
 double toMs(Duration duration)
@@ -45,8 +45,8 @@
     if (!inputs.tokensLeft) {
         return cost;
     }
-    cost.takes = fromMs(static_cast<double>(*inputs.tokensLeft) * toMs(inputs.betweenTokens) * FinishMargin);
-    cost.isPossible = cost.takes <= *inputs.reclaimLeft;
+    cost.oldServerNeededFor = fromMs(static_cast<double>(*inputs.tokensLeft) * toMs(inputs.betweenTokens) * FinishMargin);
+    cost.isPossible = cost.oldServerNeededFor <= *inputs.reclaimLeft;
     return cost;
 }
 
@@ -66,21 +66,21 @@
         return cost;
     }
     if (!inputs.isKvRateKnown) {
-        // A first transfer measures the rate.
-        cost.takes = FirstTransfer;
-        cost.isPossible = !inputs.reclaimLeft || cost.takes <= *inputs.reclaimLeft;
+        // Score 0: the first transfer is made to measure the rate.
+        cost.oldServerNeededFor = FirstTransferBudget;
+        cost.isPossible = !inputs.reclaimLeft || cost.oldServerNeededFor <= *inputs.reclaimLeft;
         return cost;
     }
     const double bytes = static_cast<double>(inputs.promptTokens + inputs.tokensSoFar) * inputs.kvBytesPerToken;
     const double ownMs = bytes / inputs.kvBytesPerMs;
     const double queueMs = static_cast<double>(inputs.kvQueueBytes) / inputs.kvBytesPerMs;
-    cost.takes = fromMs(ownMs + queueMs) + TransferMargin;
-    cost.isPossible = !inputs.reclaimLeft || cost.takes <= *inputs.reclaimLeft;
-    // Tokens made while the cache is on its way are not in it.
-    const double madeMeanwhile = inputs.betweenTokens.count() > 0 ? (ownMs + queueMs) / toMs(inputs.betweenTokens) : 0;
-    cost.recomputedTokens = static_cast<std::int64_t>(madeMeanwhile);
-    cost.gap = fromMs(madeMeanwhile / inputs.prefillTokensPerMs) + ReconnectGap;
-    cost.score = ownMs * TransferShare + madeMeanwhile / inputs.prefillTokensPerMs + gapPenalty(inputs, cost.gap);
+    cost.oldServerNeededFor = fromMs(ownMs + queueMs) + TransferMargin;
+    cost.isPossible = !inputs.reclaimLeft || cost.oldServerNeededFor <= *inputs.reclaimLeft;
+    // Tokens produced during the transfer are not in the exported cache.
+    const double tokensDuringTransfer = inputs.betweenTokens.count() > 0 ? (ownMs + queueMs) / toMs(inputs.betweenTokens) : 0;
+    cost.recomputedTokens = static_cast<std::int64_t>(tokensDuringTransfer);
+    cost.gap = fromMs(tokensDuringTransfer / inputs.prefillTokensPerMs) + ReconnectGap;
+    cost.score = ownMs * TransferShare + tokensDuringTransfer / inputs.prefillTokensPerMs + gapPenalty(inputs, cost.gap);
     return cost;
 }
 
@@ -93,7 +93,7 @@
     const double ownMs = static_cast<double>(cost.recomputedTokens) / inputs.prefillTokensPerMs;
     const double queueMs = static_cast<double>(inputs.prefillQueueTokens) / inputs.prefillTokensPerMs;
     cost.gap = fromMs(ownMs + queueMs) + ReconnectGap;
-    cost.takes = cost.gap;
+    cost.oldServerNeededFor = cost.gap;
     cost.score = ownMs + gapPenalty(inputs, cost.gap);
     return cost;
 }
@@ -126,9 +126,9 @@
 Duration stallLimit(Duration betweenTokens, bool hasToken)
 {
     if (!hasToken) {
-        return LongestStall;
+        return MaxStall;
     }
-    return std::min(LongestStall, StalledIntervals * std::max(betweenTokens, BetweenTokensTarget));
+    return std::min(MaxStall, StallIntervals * std::max(betweenTokens, TargetTokenInterval));
 }
 
 std::string_view recoveryMethodName(RecoveryMethod method)
--- a/src/recovery/internal/streammachine.cpp
+++ b/src/recovery/internal/streammachine.cpp
@@ -8,172 +8,172 @@
 
 using engine::StreamEnd;
 
-void cancelLeg(StreamStep &step, LegId &leg)
+void cancelAttempt(StreamActions &actions, AttemptId &attempt)
 {
-    if (leg != NoLeg) {
-        step.cancel.push_back(std::exchange(leg, NoLeg));
+    if (attempt != NoAttempt) {
+        actions.cancel.push_back(std::exchange(attempt, NoAttempt));
     }
 }
 
-void endStream(StreamMachine &machine, StreamStep &step, StreamEnd end)
+void endStream(StreamMachine &machine, StreamActions &actions, StreamEnd end)
 {
-    cancelLeg(step, machine.current);
-    cancelLeg(step, machine.successor);
+    cancelAttempt(actions, machine.current);
+    cancelAttempt(actions, machine.successor);
     machine.ended = true;
     machine.isPreparing = false;
-    step.end = end;
+    actions.end = end;
 }
 
-/// The current leg is lost for good: a successor or a prepared move goes on, or the owner has to.
-void loseCurrent(StreamMachine &machine, StreamStep &step, StreamEnd end)
+/// The current attempt is lost: the stream continues with its successor or the move in preparation, or ends.
+void loseCurrent(StreamMachine &machine, StreamActions &actions, StreamEnd end)
 {
     if (end == StreamEnd::Broken) {
-        // It may go on at an engine that we don't reach.
-        cancelLeg(step, machine.current);
+        // It may still be running at an engine that is unreachable.
+        cancelAttempt(actions, machine.current);
     }
-    machine.current = NoLeg;
-    if (machine.successor == NoLeg && !machine.isPreparing) {
-        endStream(machine, step, end);
+    machine.current = NoAttempt;
+    if (machine.successor == NoAttempt && !machine.isPreparing) {
+        endStream(machine, actions, end);
     }
 }
 
-StreamStep onCurrentEnd(StreamMachine &machine, StreamEnd end)
+StreamActions onCurrentEnd(StreamMachine &machine, StreamEnd end)
 {
-    StreamStep step;
+    StreamActions actions;
     if (end == StreamEnd::Finished) {
-        machine.current = NoLeg;
-        endStream(machine, step, end);
+        machine.current = NoAttempt;
+        endStream(machine, actions, end);
     } else if (end == StreamEnd::Rejected && !machine.resumeTried) {
-        machine.current = NoLeg;
-        endStream(machine, step, end);
-    } else if (end == StreamEnd::Broken && !machine.resumeTried && machine.successor == NoLeg) {
+        machine.current = NoAttempt;
+        endStream(machine, actions, end);
+    } else if (end == StreamEnd::Broken && !machine.resumeTried && machine.successor == NoAttempt) {
         machine.resumeTried = true;
-        step.resume = true;
+        actions.resume = true;
     } else {
-        // NOTE After a resume the engine's refusal says only that the stream is lost, not that it never ran.
-        loseCurrent(machine, step, machine.resumeTried ? StreamEnd::Broken : end);
+        // NOTE After a resume, a refusal by the engine means that the stream is lost, not that it never ran.
+        loseCurrent(machine, actions, machine.resumeTried ? StreamEnd::Broken : end);
     }
-    return step;
+    return actions;
 }
 
-StreamStep onSuccessorEnd(StreamMachine &machine, StreamEnd end)
+StreamActions onSuccessorEnd(StreamMachine &machine, StreamEnd end)
 {
-    StreamStep step;
+    StreamActions actions;
     if (end == StreamEnd::Broken) {
-        // It may go on at an engine that we don't reach.
-        cancelLeg(step, machine.successor);
+        // It may still be running at an engine that is unreachable.
+        cancelAttempt(actions, machine.successor);
     }
-    machine.successor = NoLeg;
+    machine.successor = NoAttempt;
     if (end == StreamEnd::Finished) {
-        // It had nothing to add: the output so far is the whole answer.
-        endStream(machine, step, end);
-    } else if (machine.current == NoLeg) {
-        endStream(machine, step, end == StreamEnd::Rejected ? end : StreamEnd::Broken);
+        // It produced no further token: the output so far is the complete answer.
+        endStream(machine, actions, end);
+    } else if (machine.current == NoAttempt) {
+        endStream(machine, actions, end == StreamEnd::Rejected ? end : StreamEnd::Broken);
     }
-    return step;
+    return actions;
 }
 
-StreamStep dropSuccessor(StreamMachine &machine)
+StreamActions dropSuccessor(StreamMachine &machine)
 {
-    StreamStep step;
-    cancelLeg(step, machine.successor);
-    if (machine.current == NoLeg) {
-        endStream(machine, step, StreamEnd::Broken);
+    StreamActions actions;
+    cancelAttempt(actions, machine.successor);
+    if (machine.current == NoAttempt) {
+        endStream(machine, actions, StreamEnd::Broken);
     }
-    return step;
+    return actions;
 }
 
 } // namespace
 
-StreamStep onToken(StreamMachine &machine, LegId leg, std::uint64_t position)
+StreamActions onToken(StreamMachine &machine, AttemptId attempt, std::uint64_t position)
 {
-    StreamStep step;
-    if (machine.ended || leg == NoLeg || (leg != machine.current && leg != machine.successor)) {
-        return step;
+    StreamActions actions;
+    if (machine.ended || attempt == NoAttempt || (attempt != machine.current && attempt != machine.successor)) {
+        return actions;
     }
     if (position > machine.position) {
-        // A token is missing; the rest of this connection is of no use.
-        return leg == machine.current ? onCurrentEnd(machine, StreamEnd::Broken) : dropSuccessor(machine);
+        // A token is missing, so the rest of this connection is useless.
+        return attempt == machine.current ? onCurrentEnd(machine, StreamEnd::Broken) : dropSuccessor(machine);
     }
-    if (leg == machine.successor) {
-        cancelLeg(step, machine.current);
-        machine.current = std::exchange(machine.successor, NoLeg);
+    if (attempt == machine.successor) {
+        cancelAttempt(actions, machine.current);
+        machine.current = std::exchange(machine.successor, NoAttempt);
         machine.resumeTried = false;
-        step.switched = true;
+        actions.switched = true;
     }
     if (position == machine.position) {
         machine.position++;
         machine.resumeTried = false;
-        step.forward = true;
+        actions.forward = true;
     }
-    return step;
+    return actions;
 }
 
-StreamStep onLegEnd(StreamMachine &machine, LegId leg, StreamEnd end)
+StreamActions onAttemptEnd(StreamMachine &machine, AttemptId attempt, StreamEnd end)
 {
-    if (machine.ended || leg == NoLeg) {
+    if (machine.ended || attempt == NoAttempt) {
         return {};
     }
-    if (leg == machine.current) {
+    if (attempt == machine.current) {
         return onCurrentEnd(machine, end);
     }
-    return leg == machine.successor ? onSuccessorEnd(machine, end) : StreamStep();
+    return attempt == machine.successor ? onSuccessorEnd(machine, end) : StreamActions();
 }
 
-StreamStep onStalled(StreamMachine &machine, LegId leg)
+StreamActions onStalled(StreamMachine &machine, AttemptId attempt)
 {
-    StreamStep step;
-    if (machine.ended || leg == NoLeg) {
-        return step;
+    StreamActions actions;
+    if (machine.ended || attempt == NoAttempt) {
+        return actions;
     }
-    if (leg == machine.successor) {
+    if (attempt == machine.successor) {
         return dropSuccessor(machine);
     }
-    if (leg != machine.current) {
-        return step;
+    if (attempt != machine.current) {
+        return actions;
     }
-    if (!machine.resumeTried && machine.successor == NoLeg) {
+    if (!machine.resumeTried && machine.successor == NoAttempt) {
         machine.resumeTried = true;
-        step.resume = true;
-        return step;
+        actions.resume = true;
+        return actions;
     }
-    loseCurrent(machine, step, StreamEnd::Broken);
-    return step;
+    loseCurrent(machine, actions, StreamEnd::Broken);
+    return actions;
 }
 
-StreamStep onMoveWanted(StreamMachine &machine)
+StreamActions onMoveWanted(StreamMachine &machine)
 {
-    StreamStep step;
-    if (machine.ended || machine.isPreparing || machine.successor != NoLeg || machine.current == NoLeg) {
-        return step;
+    StreamActions actions;
+    if (machine.ended || machine.isPreparing || machine.successor != NoAttempt || machine.current == NoAttempt) {
+        return actions;
     }
     machine.isPreparing = true;
-    step.prepareMove = true;
-    return step;
+    actions.prepareMove = true;
+    return actions;
 }
 
-StreamStep onMovePrepared(StreamMachine &machine, LegId successor)
+StreamActions onMovePrepared(StreamMachine &machine, AttemptId successor)
 {
-    StreamStep step;
+    StreamActions actions;
     if (machine.ended) {
-        cancelLeg(step, successor);
-        return step;
+        cancelAttempt(actions, successor);
+        return actions;
     }
     machine.isPreparing = false;
     machine.successor = successor;
-    if (machine.current == NoLeg && successor == NoLeg) {
-        endStream(machine, step, StreamEnd::Broken);
+    if (machine.current == NoAttempt && successor == NoAttempt) {
+        endStream(machine, actions, StreamEnd::Broken);
     }
-    return step;
+    return actions;
 }
 
-StreamStep onCancel(StreamMachine &machine)
+StreamActions onCancel(StreamMachine &machine)
 {
-    StreamStep step;
+    StreamActions actions;
     if (!machine.ended) {
-        endStream(machine, step, StreamEnd::Cancelled);
+        endStream(machine, actions, StreamEnd::Cancelled);
     }
-    return step;
+    return actions;
 }
 
 } // namespace cardamomlift::recovery
--- a/src/recovery/recoveringclient.h
+++ b/src/recovery/recoveringclient.h
@@ -14,14 +14,14 @@
 
 class RecoveringStream;
 
-/// An EngineClient whose streams outlive their connection and, if their hooks allow it, their server.
+/// An EngineClient whose streams survive the loss of their connection and, if their hooks allow it, of their server.
 ///
-/// A stream started here joins its server again when its connection breaks or is silent, and moves to another server when
-/// its own is leaving. Its owner hears each position once and in order, and one onEnd.
+/// When its connection breaks or stalls, a stream is resumed at the same server; when its server is leaving, it moves to another
+/// one. The owner receives each position once and in order, and a single onEnd.
 class RecoveringClient : public engine::EngineClient, public std::enable_shared_from_this<RecoveringClient>
 {
 public:
-    /// @p direct speaks with the engines. Looks at its streams every @p period.
+    /// @p direct communicates with the engines. Streams are checked for stalls and reclaims every @p period.
     static std::shared_ptr<RecoveringClient> create(EventLoop &loop,
         std::shared_ptr<engine::EngineClient> direct,
         std::shared_ptr<membership::Members> members,
@@ -48,20 +48,20 @@
     RecoveringClient() = default;
     std::shared_ptr<RecoveringStream> open(engine::EngineHooks hooks, http::CallId &call);
     void tick();
-    void sweep();
+    void checkStreams();
     std::optional<Duration> reclaimLeft(const std::string &instance);
     EventLoop *loop_ = nullptr;
     std::shared_ptr<engine::EngineClient> direct_;
     std::shared_ptr<membership::Members> members_;
     std::shared_ptr<metrics::Metrics> metrics_;
     std::shared_ptr<RecoveryEstimates> estimates_ = std::make_shared<RecoveryEstimates>();
-    std::shared_ptr<std::map<std::string, TimePoint>> silentServers_ = std::make_shared<std::map<std::string, TimePoint>>();
+    std::shared_ptr<std::map<std::string, TimePoint>> stalledServers_ = std::make_shared<std::map<std::string, TimePoint>>();
     http::CallId nextCall_ = 1;
     Duration period_{0};
     TimePoint lastTick_{};
-    TimerId sweepTimer_ = 0;
+    TimerId tickTimer_ = 0;
     std::unordered_map<http::CallId, std::shared_ptr<RecoveringStream>> streams_;
-    std::map<std::string, TimePoint> leavingSince_; ///< By instance, of servers with streams here.
+    std::map<std::string, TimePoint> leavingSince_; ///< By instance; only servers with streams of this client.
 };
 
 } // namespace cardamomlift::recovery
--- a/src/recovery/recoverydecision.h
+++ b/src/recovery/recoverydecision.h
@@ -6,22 +6,23 @@
 
 namespace cardamomlift::recovery {
 
-/// The cheapest method that is possible. Recompute always is.
+/// Chooses the cheapest possible method. Recompute is always possible.
 RecoveryPlan planRecovery(const RecoveryInputs &inputs);
 
-/// Bytes of KV caches carried through this VM's memory at once.
+/// Most bytes of KV caches in this VM's memory at once.
 inline constexpr std::int64_t MaxTransferBytes = 64 << 20;
-/// Transfers through this VM at once.
+/// Most transfers through this VM at once.
 inline constexpr std::size_t MaxTransfers = 4;
 
-/// Whether one more transfer may start now. If not, the stream goes on where it is and is looked at again.
+/// Whether one more transfer may start now. If not, the stream continues where it is and is checked again later. Until the rate
+/// is known, only one transfer runs at a time.
 bool canStartTransfer(std::int64_t bytes, std::int64_t bytesInFlight, std::size_t transfersInFlight, bool isKvRateKnown);
 
-/// Silence after which a stream counts as broken, given the usual time between its tokens; before the first token
-/// @p betweenTokens is 0.
+/// Time without a token after which a stream counts as stalled, given the usual time between its tokens. @p betweenTokens is 0
+/// before the first token.
 Duration stallLimit(Duration betweenTokens, bool hasToken);
 
-/// As in metric labels: "stay", "resume", "kv", "recompute".
+/// Name used in metric labels: "stay", "resume", "kv" or "recompute".
 std::string_view recoveryMethodName(RecoveryMethod method);
 
 } // namespace cardamomlift::recovery
--- a/src/recovery/recoveryestimates.h
+++ b/src/recovery/recoveryestimates.h
@@ -7,24 +7,25 @@
 
 namespace cardamomlift::recovery {
 
-/// What this VM has measured of the engines, and the moves under way through it.
+/// Rates of the engines as measured by this VM, and the recoveries in progress through it.
 struct RecoveryEstimates {
     double prefillTokensPerMs = 10;
-    double cachedShare = 0; ///< Of the prompts of continuations, found in the next server's prefix cache.
+    double cachedShare = 0; ///< Share of a continued prompt found in the next server's prefix cache.
     bool isKvRateKnown = false;
     double kvBytesPerToken = 0;
     double kvBytesPerMs = 1;
     std::int64_t kvBytesInFlight = 0;
     std::size_t transfersInFlight = 0;
-    std::int64_t prefillTokensInFlight = 0; ///< Of continuations that wait for their first token.
+    std::int64_t prefillTokensInFlight = 0; ///< Of continued streams that wait for their first token.
 };
 
-/// @p tokens were computed before the first token, which came after @p took.
-void learnPrefill(RecoveryEstimates &estimates, std::int64_t tokens, Duration took);
-void learnCachedShare(RecoveryEstimates &estimates, std::int64_t promptTokens, std::int64_t cachedTokens);
-/// A cache of @p tokens tokens and @p bytes bytes was moved, together with @p bytesBeside of others.
-void learnTransfer(RecoveryEstimates &estimates, std::int64_t tokens, std::int64_t bytes, std::int64_t bytesBeside, Duration took);
-/// Bytes that the cache of so many tokens is expected to have.
+/// An engine prefilled @p tokens tokens; its first output token came after @p took.
+void recordPrefill(RecoveryEstimates &estimates, std::int64_t tokens, Duration took);
+void recordCachedShare(RecoveryEstimates &estimates, std::int64_t promptTokens, std::int64_t cachedTokens);
+/// A KV cache of @p tokens tokens and @p bytes bytes was transferred in @p took, while @p concurrentBytes of other caches were
+/// in transfer.
+void recordTransfer(RecoveryEstimates &estimates, std::int64_t tokens, std::int64_t bytes, std::int64_t concurrentBytes, Duration took);
+/// Expected size of the KV cache of @p tokens tokens, in bytes.
 std::int64_t expectedKvBytes(const RecoveryEstimates &estimates, std::int64_t tokens);
 
 } // namespace cardamomlift::recovery
--- a/src/recovery/recoverymodule.cpp
+++ b/src/recovery/recoverymodule.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-/// Puts the recovering client in the place of the direct one.
+/// Replaces the EngineClient in the context by a RecoveringClient that wraps it.
 class RecoveryModule : public Module
 {
 public:
--- a/src/recovery/streammachine.h
+++ b/src/recovery/streammachine.h
@@ -8,44 +8,44 @@
 
 namespace cardamomlift::recovery {
 
-/// One attempt of a stream at one server; numbers are never used twice in a stream.
-using LegId = std::uint64_t;
-inline constexpr LegId NoLeg = 0;
+/// Identifies one attempt of a stream at one server. Not reused within a stream.
+using AttemptId = std::uint64_t;
+inline constexpr AttemptId NoAttempt = 0;
 
-/// Where a stream stands that may move between servers.
+/// State machine of a stream that can move between servers; the functions below are its events.
 ///
-/// The leg that is current is the one whose tokens are passed on. A successor was started at another server and becomes
-/// current with its first token; until then the current one goes on. While a move is being prepared there is no successor
-/// yet.
+/// The tokens of the current attempt are forwarded to the owner. A successor is an attempt started at another server, which
+/// becomes current with its first token; until then the current attempt continues. While a move is being prepared, there is
+/// no successor yet.
 struct StreamMachine {
-    std::uint64_t position = 0; ///< Of the next token wanted.
-    LegId current = NoLeg;
-    LegId successor = NoLeg;
-    bool isPreparing = false;
-    bool resumeTried = false; ///< Since the last token of the current leg.
+    std::uint64_t position = 0; ///< Position of the next token to forward.
+    AttemptId current = NoAttempt;
+    AttemptId successor = NoAttempt;
+    bool isPreparing = false; ///< A move is being prepared.
+    bool resumeTried = false; ///< A resume was tried since the last token of the current attempt.
     bool ended = false;
 };
 
-/// What follows from an event, to be carried out in this order.
-struct StreamStep {
-    std::vector<LegId> cancel; ///< At their engines, so that nobody pays for them.
-    bool forward = false; ///< Pass the token on.
-    bool switched = false; ///< The successor has become the current leg.
-    bool resume = false; ///< Join the current leg's stream again, at position.
+/// Actions to take in response to an event, in this order.
+struct StreamActions {
+    std::vector<AttemptId> cancel; ///< Attempts to cancel at their engines, so that they are not charged for.
+    bool forward = false; ///< Forward the token to the owner.
+    bool switched = false; ///< The successor has become the current attempt.
+    bool resume = false; ///< Resume the current attempt's stream at position.
     bool prepareMove = false;
-    std::optional<engine::StreamEnd> end; ///< The stream is over for its owner.
+    std::optional<engine::StreamEnd> end; ///< The stream has ended for its owner.
 };
 
-StreamStep onToken(StreamMachine &machine, LegId leg, std::uint64_t position);
-/// The connection of @p leg ended. Whoever closes a leg for a cancel step does not report its end.
-StreamStep onLegEnd(StreamMachine &machine, LegId leg, engine::StreamEnd end);
-/// @p leg has been silent for too long.
-StreamStep onStalled(StreamMachine &machine, LegId leg);
-/// The current leg's server is leaving and the stream won't finish there.
-StreamStep onMoveWanted(StreamMachine &machine);
-/// The move is prepared: @p successor was started, or NoLeg if no server can take it.
-StreamStep onMovePrepared(StreamMachine &machine, LegId successor);
-/// The owner gives the stream up.
-StreamStep onCancel(StreamMachine &machine);
+StreamActions onToken(StreamMachine &machine, AttemptId attempt, std::uint64_t position);
+/// The connection of @p attempt ended. Not to be called for attempts that were cancelled by StreamActions::cancel.
+StreamActions onAttemptEnd(StreamMachine &machine, AttemptId attempt, engine::StreamEnd end);
+/// @p attempt has produced no token for too long.
+StreamActions onStalled(StreamMachine &machine, AttemptId attempt);
+/// The server of the current attempt is leaving and the stream won't finish in time.
+StreamActions onMoveWanted(StreamMachine &machine);
+/// The move is prepared: @p successor was started, or is NoAttempt if no server can take the stream.
+StreamActions onMovePrepared(StreamMachine &machine, AttemptId successor);
+/// The owner cancels the stream.
+StreamActions onCancel(StreamMachine &machine);
 
 } // namespace cardamomlift::recovery
--- a/src/recovery/tests/recoveringclient_test.cpp
+++ b/src/recovery/tests/recoveringclient_test.cpp
@@ -20,7 +20,7 @@
     return "t" + std::to_string(position);
 }
 
-/// Connections to engines that the test drives by hand.
+/// Engines whose connections the test controls.
 class FakeEngines : public engine::EngineClient
 {
 public:
@@ -84,7 +84,7 @@
 
     std::vector<Connection> connections;
     std::vector<Done> transfers;
-    std::map<std::string, bool> running; ///< Attempts that an engine still works on.
+    std::map<std::string, bool> running; ///< By attempt: whether an engine still runs it.
 };
 
 class RecoveringClientTest : public testing::Test
@@ -186,7 +186,7 @@
 
 } // namespace
 
-TEST_F(RecoveringClientTest, LateBytesOfAReplacedConnectionAreDropped)
+TEST_F(RecoveringClientTest, LateTokensOfAReplacedConnectionAreDropped)
 {
     open();
     engines_->token(0);
@@ -203,11 +203,11 @@
     EXPECT_EQ(metrics_->counter("streams_moved_total{how=\"resume\"}"), 1U);
 }
 
-TEST_F(RecoveringClientTest, OldServerGoesOnUntilTheNewOneHasSpoken)
+TEST_F(RecoveringClientTest, OldServerIsReadUntilTheSuccessorsFirstToken)
 {
     open();
     engines_->token(0);
-    clock_.advance(milliseconds(900)); // Five more tokens won't be made in the time left.
+    clock_.advance(milliseconds(900)); // At this rate, five more tokens won't be produced in the time left.
     engines_->token(0);
     members_->markLeaving("server-1");
     ASSERT_EQ(engines_->transfers.size(), 1U);
@@ -230,7 +230,7 @@
     checkNothingLeft();
 }
 
-TEST_F(RecoveringClientTest, SilentServerIsJoinedOnceMoreAndThenLeft)
+TEST_F(RecoveringClientTest, StalledServerIsResumedOnceAndThenAbandoned)
 {
     open();
     engines_->token(0);
@@ -246,7 +246,7 @@
     checkNothingLeft();
 }
 
-TEST_F(RecoveringClientTest, StreamThatWaitsForItsFirstTokenLeavesASilentServerToo)
+TEST_F(RecoveringClientTest, StreamWaitingForItsFirstTokenAbandonsAStalledServer)
 {
     open();
     engines_->token(0);
@@ -256,14 +256,14 @@
     EXPECT_EQ(ends_.size(), 2U);
 }
 
-TEST_F(RecoveringClientTest, WaitingInAQueueIsNoSilence)
+TEST_F(RecoveringClientTest, WaitingForTheFirstTokenIsNoStall)
 {
     open();
     advance(std::chrono::seconds(9));
     EXPECT_EQ(engines_->connections.size(), 1U);
 }
 
-TEST_F(RecoveringClientTest, OwnPauseIsNoSilenceOfTheServer)
+TEST_F(RecoveringClientTest, PauseOfThisProcessIsNoStallOfTheServer)
 {
     open();
     engines_->token(0);
@@ -274,11 +274,11 @@
     EXPECT_EQ(engines_->connections.size(), 2U);
 }
 
-TEST_F(RecoveringClientTest, AnyOrderOfFaultsKeepsTokensAndAccounts)
+TEST_F(RecoveringClientTest, RandomFaultsNeitherLoseTokensNorLeakCounters)
 {
-    constexpr unsigned Walks = 3000;
+    constexpr unsigned Runs = 3000;
     constexpr int Steps = 40;
-    for (unsigned seed = 1; seed <= Walks && !HasFailure(); seed++) {
+    for (unsigned seed = 1; seed <= Runs && !HasFailure(); seed++) {
         SCOPED_TRACE(seed);
         std::mt19937 random(seed);
         engines_->connections.clear();
@@ -292,20 +292,20 @@
         for (int i = 0; i < Steps; i++) {
             const std::size_t index = random() % engines_->connections.size();
             const FakeEngines::Connection &connection = engines_->connections[index];
-            const unsigned what = random() % 12;
-            if (what < 5 && connection.next < AnswerLength) {
+            const unsigned event = random() % 12;
+            if (event < 5 && connection.next < AnswerLength) {
                 engines_->token(index);
-            } else if (what == 5 && connection.next == AnswerLength && !connection.closed) {
+            } else if (event == 5 && connection.next == AnswerLength && !connection.closed) {
                 engines_->end(index, StreamEnd::Finished);
-            } else if (what == 6 && !connection.closed) {
+            } else if (event == 6 && !connection.closed) {
                 engines_->end(index, random() % 2 == 0 ? StreamEnd::Broken : StreamEnd::Refused);
-            } else if (what == 7) {
+            } else if (event == 7) {
                 members_->markLeaving("server-" + std::to_string(random() % 3 + 1));
-            } else if (what < 10 && !engines_->transfers.empty()) {
+            } else if (event < 10 && !engines_->transfers.empty()) {
                 const auto done = engines_->transfers.back();
                 engines_->transfers.pop_back();
                 done();
-            } else if (what == 10) {
+            } else if (event == 10) {
                 advance(milliseconds(random() % 800));
             } else {
                 loop_->runDue();
--- a/src/recovery/tests/recoverydecision_test.cpp
+++ b/src/recovery/tests/recoverydecision_test.cpp
@@ -10,7 +10,7 @@
 namespace {
 
 /// A stream in the middle of its answer whose server is leaving.
-RecoveryInputs leaving()
+RecoveryInputs inputsOfLeavingServer()
 {
     RecoveryInputs inputs;
     inputs.promptTokens = 2000;
@@ -28,7 +28,7 @@
 
 TEST(RecoveryDecision, StaysWhenTheAnswerEndsInTime)
 {
-    RecoveryInputs inputs = leaving();
+    RecoveryInputs inputs = inputsOfLeavingServer();
     inputs.tokensLeft = 50;
     EXPECT_EQ(planRecovery(inputs).method, RecoveryMethod::Stay);
     inputs.tokensLeft = 55; // 55 * 30 ms * 1.25 is past 2 s.
@@ -37,9 +37,9 @@
     EXPECT_NE(planRecovery(inputs).method, RecoveryMethod::Stay);
 }
 
-TEST(RecoveryDecision, JoinsAgainOnceWhenOnlyTheConnectionBroke)
+TEST(RecoveryDecision, ResumesOnceWhenOnlyTheConnectionBroke)
 {
-    RecoveryInputs inputs = leaving();
+    RecoveryInputs inputs = inputsOfLeavingServer();
     inputs.reclaimLeft.reset();
     inputs.connectionBroke = true;
     EXPECT_EQ(planRecovery(inputs).method, RecoveryMethod::Resume);
@@ -52,7 +52,7 @@
 
 TEST(RecoveryDecision, MovesTheCacheWhenThatCostsLess)
 {
-    const RecoveryPlan plan = planRecovery(leaving());
+    const RecoveryPlan plan = planRecovery(inputsOfLeavingServer());
     EXPECT_EQ(plan.method, RecoveryMethod::MoveKv);
     // 2200 tokens * 4096 bytes take 90 ms, in which 3 tokens are made.
     EXPECT_EQ(plan.costs[static_cast<std::size_t>(RecoveryMethod::MoveKv)].recomputedTokens, 3);
@@ -61,29 +61,29 @@
 
 TEST(RecoveryDecision, RecomputesWhenTheCacheIsTooLargeOrTooLate)
 {
-    RecoveryInputs inputs = leaving();
+    RecoveryInputs inputs = inputsOfLeavingServer();
     inputs.reclaimLeft = milliseconds(150);
     EXPECT_EQ(planRecovery(inputs).method, RecoveryMethod::Recompute);
-    inputs = leaving();
+    inputs = inputsOfLeavingServer();
     inputs.canMoveKv = false;
     EXPECT_EQ(planRecovery(inputs).method, RecoveryMethod::Recompute);
-    inputs = leaving();
+    inputs = inputsOfLeavingServer();
     inputs.kvQueueBytes = 300'000'000;
     EXPECT_EQ(planRecovery(inputs).method, RecoveryMethod::Recompute);
 }
 
 TEST(RecoveryDecision, RecomputesShortPromptsThatAreCachedAtTheTarget)
 {
-    RecoveryInputs inputs = leaving();
+    RecoveryInputs inputs = inputsOfLeavingServer();
     inputs.tokensSoFar = 4;
     inputs.cachedShareAtTarget = 1;
     inputs.kvBytesPerMs = 5000;
     EXPECT_EQ(planRecovery(inputs).method, RecoveryMethod::Recompute);
 }
 
-TEST(RecoveryDecision, MeasuresTheTransferOneAtATime)
+TEST(RecoveryDecision, TransfersOneAtATimeUntilTheRateIsKnown)
 {
-    RecoveryInputs inputs = leaving();
+    RecoveryInputs inputs = inputsOfLeavingServer();
     inputs.isKvRateKnown = false;
     EXPECT_EQ(planRecovery(inputs).method, RecoveryMethod::MoveKv);
     inputs.reclaimLeft = milliseconds(400);
@@ -95,7 +95,7 @@
     EXPECT_FALSE(canStartTransfer(MaxTransferBytes, 1, 1, true));
 }
 
-TEST(RecoveryDecision, SilenceIsJudgedByTheStreamsOwnPace)
+TEST(RecoveryDecision, StallLimitFollowsTheStreamsTokenInterval)
 {
     EXPECT_EQ(stallLimit(milliseconds(30), true), milliseconds(1520));
     EXPECT_EQ(stallLimit(milliseconds(200), true), milliseconds(4000));
--- a/src/recovery/tests/streammachine_test.cpp
+++ b/src/recovery/tests/streammachine_test.cpp
@@ -1,4 +1,4 @@
-// Walks every state that the machine can reach over all orders of events and faults.
+// Model check: explores every state that the state machine can reach through any order of events and faults.
 
 #include "recovery/streammachine.h"
 
@@ -15,21 +15,22 @@
 namespace {
 
 constexpr std::uint64_t AnswerLength = 3;
-constexpr std::size_t MostLegs = 4;
+constexpr std::size_t MaxAttempts = 4;
 
-/// An engine's stream and our connection to it.
-struct LegModel {
+/// The stream at an engine and the connection to it.
+struct AttemptModel {
     std::uint64_t next = 0; ///< Position of the next token on the connection.
     bool connected = true;
-    bool running = true; ///< At the engine, as far as nobody stopped it.
+    bool running = true; ///< At the engine, since nobody cancelled it and it has not ended.
 };
 
-struct World {
+/// State of the machine and of the engines.
+struct ModelState {
     StreamMachine machine;
-    std::vector<LegModel> legs; ///< Leg 1 is at index 0.
+    std::vector<AttemptModel> attempts; ///< Attempt 1 is at index 0.
     std::uint64_t forwarded = 0;
     bool resumedWithoutProgress = false;
-    std::string path; ///< For the message of a failure; not part of the state.
+    std::string path; ///< Events so far, for failure messages; not part of the key.
 
     std::string key() const
     {
@@ -43,178 +44,178 @@
         add(machine.isPreparing);
         add(machine.resumeTried);
         add(machine.ended);
-        for (const LegModel &leg : legs) {
-            add(leg.next);
-            add(leg.connected);
-            add(leg.running);
+        for (const AttemptModel &attempt : attempts) {
+            add(attempt.next);
+            add(attempt.connected);
+            add(attempt.running);
         }
         return key;
     }
 };
 
-LegModel &legOf(World &world, LegId id)
+AttemptModel &attemptOf(ModelState &state, AttemptId id)
 {
-    return world.legs[id - 1];
+    return state.attempts[id - 1];
 }
 
-void checkEnd(const World &world, StreamEnd end)
+void checkEnd(const ModelState &state, StreamEnd end)
 {
-    EXPECT_TRUE(world.machine.ended) << world.path;
+    EXPECT_TRUE(state.machine.ended) << state.path;
     if (end == StreamEnd::Finished) {
-        EXPECT_EQ(world.forwarded, AnswerLength) << world.path;
+        EXPECT_EQ(state.forwarded, AnswerLength) << state.path;
     }
-    for (const LegModel &leg : world.legs) {
-        // Whoever is still running there is paid for and read by nobody.
-        EXPECT_FALSE(leg.running) << world.path;
+    for (const AttemptModel &attempt : state.attempts) {
+        // An attempt that is still running would be charged for without a reader.
+        EXPECT_FALSE(attempt.running) << state.path;
     }
 }
 
-void checkAlive(const World &world)
+void checkCanProgress(const ModelState &state)
 {
-    const StreamMachine &machine = world.machine;
-    const bool hasReader =
-        (machine.current != NoLeg && world.legs[machine.current - 1].connected) || (machine.successor != NoLeg && world.legs[machine.successor - 1].connected);
-    EXPECT_TRUE(hasReader || machine.isPreparing) << "nothing can happen any more: " << world.path;
+    const StreamMachine &machine = state.machine;
+    const bool hasReader = (machine.current != NoAttempt && state.attempts[machine.current - 1].connected)
+        || (machine.successor != NoAttempt && state.attempts[machine.successor - 1].connected);
+    EXPECT_TRUE(hasReader || machine.isPreparing) << "no further event is possible: " << state.path;
 }
 
-void carryOut(World &world, const StreamStep &step, LegId source)
+void applyActions(ModelState &state, const StreamActions &actions, AttemptId source)
 {
-    for (const LegId id : step.cancel) {
-        legOf(world, id).running = false;
-        legOf(world, id).connected = false;
+    for (const AttemptId id : actions.cancel) {
+        attemptOf(state, id).running = false;
+        attemptOf(state, id).connected = false;
     }
-    if (step.forward) {
-        EXPECT_EQ(source, world.machine.current) << world.path;
-        EXPECT_EQ(world.machine.position, world.forwarded + 1) << world.path;
-        world.forwarded = world.machine.position;
-        world.resumedWithoutProgress = false;
+    if (actions.forward) {
+        EXPECT_EQ(source, state.machine.current) << state.path;
+        EXPECT_EQ(state.machine.position, state.forwarded + 1) << state.path;
+        state.forwarded = state.machine.position;
+        state.resumedWithoutProgress = false;
     }
-    if (step.switched) {
-        world.resumedWithoutProgress = false;
+    if (actions.switched) {
+        state.resumedWithoutProgress = false;
     }
-    if (step.resume) {
-        EXPECT_FALSE(world.resumedWithoutProgress) << world.path;
-        world.resumedWithoutProgress = true;
-        legOf(world, world.machine.current).connected = true;
-        legOf(world, world.machine.current).next = world.machine.position;
+    if (actions.resume) {
+        EXPECT_FALSE(state.resumedWithoutProgress) << state.path;
+        state.resumedWithoutProgress = true;
+        attemptOf(state, state.machine.current).connected = true;
+        attemptOf(state, state.machine.current).next = state.machine.position;
     }
-    if (step.end) {
-        checkEnd(world, *step.end);
-    } else if (!world.machine.ended) {
-        checkAlive(world);
+    if (actions.end) {
+        checkEnd(state, *actions.end);
+    } else if (!state.machine.ended) {
+        checkCanProgress(state);
     }
 }
 
-/// All worlds one event away.
+/// All states that are one event away.
 class Successors
 {
 public:
-    explicit Successors(const World &world)
-        : from_(world)
+    explicit Successors(const ModelState &state)
+        : from_(state)
     {
-        for (LegId id = 1; id <= world.legs.size(); id++) {
-            addLegEvents(id);
+        for (AttemptId id = 1; id <= state.attempts.size(); id++) {
+            addAttemptEvents(id);
         }
         addMoveEvents();
-        add("cancel", [](World &world) { return onCancel(world.machine); });
+        add("cancel", [](ModelState &state) { return onCancel(state.machine); });
     }
 
-    std::vector<World> worlds;
+    std::vector<ModelState> states;
 
 private:
     template<class Event>
-    void add(const std::string &name, Event event, LegId source = NoLeg)
+    void add(const std::string &name, Event event, AttemptId source = NoAttempt)
     {
-        World next = from_;
+        ModelState next = from_;
         next.path += " " + name;
         const bool wasEnded = next.machine.ended;
-        const StreamStep step = event(next);
+        const StreamActions actions = event(next);
         if (wasEnded) {
-            const bool acts = step.forward || step.resume || step.prepareMove || step.end;
+            const bool acts = actions.forward || actions.resume || actions.prepareMove || actions.end;
             EXPECT_FALSE(acts) << next.path;
         }
-        carryOut(next, step, source);
-        worlds.push_back(std::move(next));
+        applyActions(next, actions, source);
+        states.push_back(std::move(next));
     }
 
-    void addEnd(const std::string &name, LegId id, StreamEnd end, bool stillRunning)
+    void addEnd(const std::string &name, AttemptId id, StreamEnd end, bool stillRunning)
     {
         add(
             name,
-            [&](World &world) {
-                legOf(world, id).connected = false;
-                legOf(world, id).running = stillRunning;
-                return onLegEnd(world.machine, id, end);
+            [&](ModelState &state) {
+                attemptOf(state, id).connected = false;
+                attemptOf(state, id).running = stillRunning;
+                return onAttemptEnd(state.machine, id, end);
             },
             id);
     }
 
-    void addLegEvents(LegId id)
+    void addAttemptEvents(AttemptId id)
     {
-        const LegModel &leg = from_.legs[id - 1];
+        const AttemptModel &attempt = from_.attempts[id - 1];
         const std::string number = std::to_string(id);
-        // Also from legs that were cancelled: their bytes may come late.
-        if (leg.next < AnswerLength) {
+        // Includes attempts that were cancelled: their tokens may arrive late.
+        if (attempt.next < AnswerLength) {
             add(
-                "token" + number, [&](World &world) { return onToken(world.machine, id, legOf(world, id).next++); }, id);
+                "token" + number, [&](ModelState &state) { return onToken(state.machine, id, attemptOf(state, id).next++); }, id);
         }
-        if (leg.next + 1 < AnswerLength) {
+        if (attempt.next + 1 < AnswerLength) {
             add(
-                "gap" + number, [&](World &world) { return onToken(world.machine, id, legOf(world, id).next + 1); }, id);
+                "gap" + number, [&](ModelState &state) { return onToken(state.machine, id, attemptOf(state, id).next + 1); }, id);
         }
-        if (!leg.connected) {
+        if (!attempt.connected) {
             return;
         }
-        if (leg.next == AnswerLength) {
+        if (attempt.next == AnswerLength) {
             addEnd("finished" + number, id, StreamEnd::Finished, false);
         }
-        addEnd("broken" + number, id, StreamEnd::Broken, leg.running);
+        addEnd("broken" + number, id, StreamEnd::Broken, attempt.running);
         addEnd("refused" + number, id, StreamEnd::Refused, false);
         addEnd("rejected" + number, id, StreamEnd::Rejected, false);
         add(
-            "stalled" + number, [&](World &world) { return onStalled(world.machine, id); }, id);
+            "stalled" + number, [&](ModelState &state) { return onStalled(state.machine, id); }, id);
     }
 
     void addMoveEvents()
     {
-        add("move", [](World &world) { return onMoveWanted(world.machine); });
+        add("move", [](ModelState &state) { return onMoveWanted(state.machine); });
         if (!from_.machine.isPreparing) {
             return;
         }
-        add("no-server", [](World &world) { return onMovePrepared(world.machine, NoLeg); });
-        if (from_.legs.size() < MostLegs) {
-            add("prepared", [](World &world) {
-                world.legs.push_back({world.machine.position, true, true});
-                return onMovePrepared(world.machine, world.legs.size());
+        add("no-server", [](ModelState &state) { return onMovePrepared(state.machine, NoAttempt); });
+        if (from_.attempts.size() < MaxAttempts) {
+            add("prepared", [](ModelState &state) {
+                state.attempts.push_back({state.machine.position, true, true});
+                return onMovePrepared(state.machine, state.attempts.size());
             });
         }
     }
 
-    const World &from_;
+    const ModelState &from_;
 };
 
 } // namespace
 
-TEST(StreamMachine, HoldsItsPromisesInEveryReachableState)
+TEST(StreamMachine, KeepsItsInvariantsInEveryReachableState)
 {
-    World first;
+    ModelState first;
     first.machine.current = 1;
-    first.legs.push_back({});
+    first.attempts.push_back({});
     std::set<std::string> seen{first.key()};
-    std::deque<World> open{first};
-    std::size_t steps = 0;
-    while (!open.empty() && !testing::Test::HasFailure()) {
-        const World world = open.front();
-        open.pop_front();
-        Successors successors(world);
-        for (World &next : successors.worlds) {
-            steps++;
+    std::deque<ModelState> queue{first};
+    std::size_t transitions = 0;
+    while (!queue.empty() && !testing::Test::HasFailure()) {
+        const ModelState state = queue.front();
+        queue.pop_front();
+        Successors successors(state);
+        for (ModelState &next : successors.states) {
+            transitions++;
             if (seen.insert(next.key()).second) {
-                open.push_back(std::move(next));
+                queue.push_back(std::move(next));
             }
         }
     }
     RecordProperty("states", static_cast<int>(seen.size()));
-    RecordProperty("steps", static_cast<int>(steps));
+    RecordProperty("steps", static_cast<int>(transitions));
     EXPECT_GT(seen.size(), 100U);
 }
