--- a/src/retry/attemptplanner.h
+++ b/src/retry/attemptplanner.h
@@ -16,7 +16,7 @@
 
 /// State of one request across its attempts.
 struct RequestRecord {
-    routing::RouteQuestion route; ///< Set by the owner of the record; failed attempts add zones to avoid.
+    routing::RouteCriteria route; ///< Set by the owner of the record; failed attempts add zones to avoid.
     suspects::Fingerprint fingerprint = 0;
     bool idempotent = true; ///< May be repeated even if it has run.
     bool mayHaveRun = false; ///< A server may have run the request or a part of it.
