--- a/src/directory/directory.h
+++ b/src/directory/directory.h
@@ -34,8 +34,8 @@
 public:
     static std::shared_ptr<Directory> create();
 
-    /// Adds or updates an entry. A later instance replaces an earlier one of the same name. Ignored are late entries of an
-    /// instance earlier than the known one, and entries from an older copy of the store whose server has been removed since.
+    /// Adds or updates an entry. A later instance replaces an earlier one of the same name. A late entry of an instance earlier
+    /// than the known one is ignored, and so is an entry from an older copy of the store if its server has been removed since.
     /// An entry without a start time removes the server if its known instance has one.
     void put(BackendServer server);
     /// The entry of the server @p name was removed. During or just after a store outage the server stays usable until
--- a/src/retry/attemptplanner.h
+++ b/src/retry/attemptplanner.h
@@ -85,6 +85,7 @@
     std::optional<membership::Vm> chooseServer(const RequestRecord &record, bool isSuspect) const;
     AttemptPlan planUndecided(RequestRecord &record);
     AttemptPlan startAttempt(RequestRecord &record, bool isSuspect);
+    /// Number of live servers without an attempt of this request; at least 1 for an accepted answer while another server is live.
     std::size_t untriedServers(const RequestRecord &record) const;
     void recordStart(RequestRecord &record, const membership::Vm &server);
     void recordEnd(RequestRecord &record, const std::string &instance, routing::AttemptEnd end, suspects::AttemptOutcome outcome);
--- a/src/retry/internal/attemptplanner.cpp
+++ b/src/retry/internal/attemptplanner.cpp
@@ -183,8 +183,8 @@
 
 void AttemptPlanner::attemptEnded(RequestRecord &record, const std::string &instance, routing::AttemptEnd end)
 {
-    const bool isWhole = end == routing::AttemptEnd::Answered;
-    recordEnd(record, instance, end, isWhole ? suspects::AttemptOutcome::Completed : suspects::AttemptOutcome::Other);
+    const bool isComplete = end == routing::AttemptEnd::Answered;
+    recordEnd(record, instance, end, isComplete ? suspects::AttemptOutcome::Completed : suspects::AttemptOutcome::Other);
 }
 
 std::size_t AttemptPlanner::untriedServers(const RequestRecord &record) const
--- a/src/suspects/internal/suspecttracker.cpp
+++ b/src/suspects/internal/suspecttracker.cpp
@@ -14,6 +14,7 @@
 namespace {
 
 constexpr char Topic[] = "suspects";
+/// Updates that arise within this time are sent together.
 constexpr Duration FlushDelay = std::chrono::milliseconds(20);
 constexpr Duration ExpirePeriod = std::chrono::seconds(10);
 /// A token received this long after a crash was not in transit when the server crashed: the server is alive.
--- a/src/suspects/suspecttracker.h
+++ b/src/suspects/suspecttracker.h
@@ -61,9 +61,9 @@
         TimePoint startedAt;
         std::uint64_t position = 0;
         bool isSuspect = false;
-        std::uint64_t storeVersion = 0;
+        std::uint64_t storeVersion = 0; ///< CrashStore::version() for which the next two members were computed.
         std::uint64_t clearingPosition = 0;
-        bool mayRetractCrash = false;
+        bool mayRetractCrash = false; ///< It started before a crash was reported, so later tokens show that the server is alive.
     };
     SuspectTracker() = default;
     void onMembersChanged();
--- a/src/usage/internal/usagecounter.cpp
+++ b/src/usage/internal/usagecounter.cpp
@@ -74,9 +74,9 @@
 
 void UsageCounter::onStatus(const presence::Status &status)
 {
-    const PeerProcess source{status.instance, status.incarnation};
+    const PeerProcess process{status.instance, status.incarnation};
     for (const presence::UsageCount &usage : status.usage) {
-        std::uint64_t &count = peerCounts_[usage.window][source][usage.customer];
+        std::uint64_t &count = peerCounts_[usage.window][process][usage.customer];
         count = std::max<std::uint64_t>(count, usage.count);
     }
 }
@@ -94,14 +94,14 @@
 CustomerCounts UsageCounter::total(std::int64_t window) const
 {
     CustomerCounts sum;
-    if (const auto own = localCounts_.find(window); own != localCounts_.end()) {
-        sum = own->second;
+    if (const auto local = localCounts_.find(window); local != localCounts_.end()) {
+        sum = local->second;
     }
-    const auto others = peerCounts_.find(window);
-    if (others == peerCounts_.end()) {
+    const auto peers = peerCounts_.find(window);
+    if (peers == peerCounts_.end()) {
         return sum;
     }
-    for (const auto &[source, counts] : others->second) {
+    for (const auto &[process, counts] : peers->second) {
         for (const auto &[customer, count] : counts) {
             sum[customer] += count;
         }
