--- a/src/membership/tests/controlcost_test.cpp
+++ b/src/membership/tests/controlcost_test.cpp
@@ -17,7 +17,7 @@
 constexpr double BudgetBytesPerSecond = 14000;
 constexpr int IdleSeconds = 60;
 
-/// Per node: calls and payload bytes, sent and received.
+/// Mean per node: calls and payload bytes, sent and received.
 struct Cost {
     double calls = 0;
     double bytes = 0;
@@ -42,7 +42,7 @@
     double bytesPerSecond = 0;
 };
 
-/// A restart is one mark and one new VM; the clock stands still, so that no heartbeat is counted.
+/// The restart of a server: one leaving mark and one new VM. The clock does not advance, so that no heartbeat is counted.
 void restart(MemberFleet &fleet, int number)
 {
     fleet.nodes[1]->members->markLeaving(fmt::format("old-{}", number));
@@ -70,7 +70,7 @@
     };
     cost.restart = repeated([&](int i) { restart(fleet, i); });
     cost.edit = repeated([&](int i) { fleet.nodes[3]->gossip->publish("contract", "shop", i + 1U, std::string(EditBytes, 'x'), std::chrono::hours(2)); });
-    // A failed entry VM: all heartbeats and statements of half a minute, without the idle ones.
+    // Failure of an entry VM: all traffic of the following half minute, less the idle traffic.
     cost.failure = costOf(fleet, [&] {
         fleet.cut([](const Vm &vm) { return vm.instance == "entry-0"; });
         fleet.advance(std::chrono::seconds(30));
@@ -86,7 +86,7 @@
 
 TEST(ControlCost, DoesNotGrowWithTheFleet)
 {
-    fmt::print("nodes | idle calls/s | idle B/s | restart calls, B | failure calls, B | edit calls, B | day's mean B/s\n");
+    fmt::print("nodes | idle calls/s | idle B/s | restart calls, B | failure calls, B | edit calls, B | mean of a day, B/s\n");
     for (const int count : {9, 64, 380}) {
         const DayCost cost = measure(count);
         fmt::print("{} | {:.1f} | {:.0f} | {:.1f}, {:.0f} | {:.1f}, {:.0f} | {:.1f}, {:.0f} | {:.0f}\n",
--- a/src/membership/tests/gossip_test.cpp
+++ b/src/membership/tests/gossip_test.cpp
@@ -28,7 +28,7 @@
     return vms;
 }
 
-/// Gossips of many entry VMs in one process, on one paused clock.
+/// The Gossip objects of many entry VMs in one process, on one manual clock.
 class GossipFleet
 {
 public:
@@ -51,7 +51,7 @@
         settle();
     }
 
-    /// Delivers all messages under way, without advancing the clock.
+    /// Delivers all pending messages without advancing the clock.
     void settle()
     {
         for (int i = 0; i < 100; i++) {
@@ -59,6 +59,7 @@
         }
     }
 
+    /// Advances the clock in steps of a second, delivering messages after each.
     void advance(Duration time)
     {
         for (Duration passed{0}; passed < time; passed += std::chrono::seconds(1)) {
@@ -67,6 +68,7 @@
         }
     }
 
+    /// Number of VMs that hold a rumour of this topic and key.
     std::size_t countHolding(const std::string &topic, const std::string &key) const
     {
         return static_cast<std::size_t>(std::count_if(nodes.begin(), nodes.end(), [&](const auto &node) { return node->find(topic, key) != nullptr; }));
@@ -89,7 +91,7 @@
     std::vector<std::shared_ptr<Gossip>> nodes;
 };
 
-/// Hops from the first VM to the farthest one; -1 if some are not reached.
+/// Hops over neighbours from the first VM to the farthest one; -1 if some VMs can't be reached.
 int maxHops(const std::vector<Vm> &vms)
 {
     std::map<std::string, int> hops{{vms.front().instance, 0}};
@@ -127,7 +129,7 @@
         EXPECT_LE(most, MaxNeighbours);
         EXPECT_GE(maxHops(vms), 1);
         EXPECT_LE(maxHops(vms), 5);
-        fmt::print("{} entry VMs: at most {} neighbours, farthest {} hops\n", count, most, maxHops(vms));
+        fmt::print("{} entry VMs: at most {} neighbours, {} hops to the farthest VM\n", count, most, maxHops(vms));
     }
 }
 
--- a/src/membership/tests/heartbeat_test.cpp
+++ b/src/membership/tests/heartbeat_test.cpp
@@ -10,7 +10,7 @@
 constexpr std::size_t Nodes = 12;
 constexpr Duration SettleTime = std::chrono::seconds(30);
 
-/// VMs of which anything was ever said; a refuted suspicion counts too.
+/// Number of VMs whose health was ever published, also if the suspicion was refuted since.
 std::size_t healthRumours(const MemberFleet::Node &node)
 {
     std::size_t count = 0;
@@ -31,7 +31,7 @@
     EXPECT_TRUE(isIsolated(fleet.nodes[3]->heartbeat->reachability()));
     EXPECT_EQ(fleet.nodes[3]->heartbeat->reachability().heard, 0U);
     EXPECT_FALSE(isPartitioned(fleet.nodes[5]->heartbeat->reachability()));
-    EXPECT_EQ(healthRumours(*fleet.nodes[3]), 0U) << "the cut-off VM judged others";
+    EXPECT_EQ(healthRumours(*fleet.nodes[3]), 0U) << "the partitioned VM reported others as unhealthy";
     fleet.heal();
     fleet.advance(SettleTime);
     EXPECT_EQ(fleet.countWithHealth("entry-3", Health::Alive), Nodes - 1);
@@ -53,7 +53,7 @@
 
 TEST(Heartbeat, RepeatedOutagesOfThreeSecondsAreNotAFailure)
 {
-    // Time after time: shorter than the silence that counts.
+    // Each outage is shorter than FailureThresholds::silenceToSuspect, so none may lead to a suspicion.
     MemberFleet fleet(Nodes);
     fleet.advance(SettleTime);
     for (int i = 0; i < 10; i++) {
@@ -92,7 +92,7 @@
     EXPECT_EQ(fleet.count([](const MemberFleet::Node &node) { return node.members->find("entry-new") != nullptr; }), 0U);
 }
 
-TEST(Heartbeat, ALostZoneFailsForAllOthersAndNoOtherVmDoes)
+TEST(Heartbeat, VmsOfALostZoneFailEverywhereAndNoOtherVmDoes)
 {
     MemberFleet fleet(64);
     fleet.advance(SettleTime);
@@ -115,7 +115,7 @@
         }
         const Reachability reachability = node->heartbeat->reachability();
         EXPECT_FALSE(isPartitioned(reachability));
-        EXPECT_EQ(reachability.heard, 64U - 6U - 1U);
+        EXPECT_EQ(reachability.heard, 64U - 6U - 1U); // Without the six VMs of zone-2 and the VM itself.
     }
 }
 
@@ -124,8 +124,8 @@
     MemberFleet fleet(22);
     fleet.readList({engineVm("engine-1"), engineVm("engine-2")});
     fleet.cut([](const Vm &vm) { return vm.region == "region-0"; });
-    fleet.nodes[0]->members->markLeaving("engine-1"); // Inside region-0.
-    fleet.nodes[1]->members->markLeaving("engine-2"); // Outside.
+    fleet.nodes[0]->members->markLeaving("engine-1"); // Within region-0.
+    fleet.nodes[1]->members->markLeaving("engine-2"); // In another region.
     fleet.advance(std::chrono::hours(1));
     const auto knowsBoth = [](const MemberFleet::Node &node) {
         return node.members->isLeaving("engine-1") && node.members->isLeaving("engine-2");
@@ -144,7 +144,7 @@
     MemberFleet fleet(12);
     Vm leaving = engineVm("engine-1");
     leaving.state = VmState::Leaving;
-    // One VM has read a current list, the others one that lags.
+    // One VM has read a current list; the others have read an older one in which the server is still live.
     std::vector<Vm> current = fleet.list;
     current.push_back(leaving);
     fleet.readList({engineVm("engine-1")});
--- a/src/membership/tests/memberfleet.h
+++ b/src/membership/tests/memberfleet.h
@@ -14,11 +14,12 @@
 
 namespace cardamomlift::membership {
 
-/// @p count entry VMs over 11 failure domains of 4 regions.
+/// @p count entry VMs, spread over 11 failure domains in 4 regions.
 std::vector<Vm> entryVms(int count);
+/// A live model server.
 Vm engineVm(const std::string &instance);
 
-/// The membership of many entry VMs in one process, on one paused clock.
+/// The membership modules of many entry VMs in one process, on one manual clock.
 class MemberFleet
 {
 public:
@@ -32,20 +33,23 @@
     };
 
     explicit MemberFleet(int count);
-    /// A VM that the platform's list does not show yet; it has read the list itself.
+    /// Adds an entry VM that has read the platform's list, but that the list does not show yet.
     Node &addUnlisted(const std::string &instance);
-    /// Gives all VMs the list, with @p others beside the entry VMs.
+    /// Makes all VMs read the list, which shows the entry VMs and @p others.
     void readList(const std::vector<Vm> &others = {});
-    /// Delivers all messages under way, without advancing the clock.
+    /// Delivers all pending messages without advancing the clock.
     void settle();
-    /// Advances the clock in steps of half a second.
+    /// Advances the clock in steps of half a second, delivering messages after each.
     void advance(Duration time);
-    /// Loses all messages in both directions between VMs for which @p isInside differs.
+    /// Partitions the network: drops all messages, in both directions, between VMs for which @p isInside differs.
     void cut(const std::function<bool(const Vm &vm)> &isInside);
+    /// Ends all partitions.
     void heal();
+    /// Number of nodes that fulfil @p condition.
     std::size_t count(const std::function<bool(const Node &node)> &condition) const;
-    /// VMs that hold @p health of @p instance, without that VM itself.
+    /// Number of VMs, without @p instance itself, for which the health of @p instance is @p health.
     std::size_t countWithHealth(const std::string &instance, Health health) const;
+    /// The counters of all transports added up.
     peers::PeerCounters totalCounters() const;
 
     ManualClock clock;
--- a/src/membership/tests/members_test.cpp
+++ b/src/membership/tests/members_test.cpp
@@ -17,7 +17,7 @@
 
 constexpr char Model[] = "proofreader";
 
-/// What can happen to one backend server's entry on one VM.
+/// The operations on one VM that can change the state of a backend server.
 enum class Step { ListLive, ListLeaving, ListWithout, LocalMark, RemoteMark, Provisional, RemoveExpired, Count };
 
 void apply(Step step, Members &members, ManualClock &clock)
@@ -72,8 +72,8 @@
             const auto step = static_cast<Step>(remaining % Steps);
             apply(step, *members, clock);
             wasMarked = wasMarked || marksLeaving(step);
-            ASSERT_EQ(members->isLeaving("engine-1"), wasMarked) << "walk " << sequence << " step " << i;
-            ASSERT_TRUE(!wasMarked || members->backends(VmRole::Model, Model).empty()) << "walk " << sequence << " step " << i;
+            ASSERT_EQ(members->isLeaving("engine-1"), wasMarked) << "sequence " << sequence << " step " << i;
+            ASSERT_TRUE(!wasMarked || members->backends(VmRole::Model, Model).empty()) << "sequence " << sequence << " step " << i;
         }
     }
 }
@@ -176,14 +176,14 @@
     const auto single = nextUnreachableReport("entry-1", {1, now}, std::nullopt, now);
     ASSERT_TRUE(single);
     EXPECT_FALSE(single->confirmed);
-    EXPECT_FALSE(nextUnreachableReport("entry-1", {2, now}, single, now)) << "the same VM again is no second witness";
+    EXPECT_FALSE(nextUnreachableReport("entry-1", {2, now}, single, now)) << "a second refusal on the same VM must not confirm";
     const auto second = nextUnreachableReport("entry-2", {1, now}, single, now);
     ASSERT_TRUE(second && second->confirmed);
     EXPECT_GT(second->version, single->version);
     const auto third = nextUnreachableReport("entry-1", {3, now}, single, now);
     ASSERT_TRUE(third && third->confirmed);
-    EXPECT_FALSE(nextUnreachableReport("entry-1", {3, now}, second, now)) << "confirmed already";
-    EXPECT_TRUE(nextUnreachableReport("entry-1", {1, now}, second, second->until)) << "it has run out";
+    EXPECT_FALSE(nextUnreachableReport("entry-1", {3, now}, second, now)) << "the report is confirmed already";
+    EXPECT_TRUE(nextUnreachableReport("entry-1", {1, now}, second, second->until)) << "the held report has expired";
 }
 
 TEST(VmList, AllVmsTogetherReadItAtAConstantRate)
@@ -212,7 +212,7 @@
         longestGap = std::max(longestGap, readTimes[i] - readTimes[i - 1]);
     }
     const double perSecond = static_cast<double>(readTimes.size()) / 600;
-    fmt::print("380 VMs: {:.2f} readings a second, longest gap {} ms\n", perSecond, longestGap.count() / 1000);
+    fmt::print("380 VMs: {:.2f} reads per second, longest gap {} ms\n", perSecond, longestGap.count() / 1000);
     EXPECT_LE(perSecond, 6);
     EXPECT_LE(longestGap, std::chrono::seconds(3));
 }
@@ -227,17 +227,17 @@
     members->applyList(std::span(&live, 1));
     int changes = 0;
     members->onChange([&] { changes++; });
-    // An old rumour names a VM that the list no longer shows.
+    // An old rumour announces a VM that the list no longer shows.
     Vm ended = live;
     ended.instance = "entry-1";
     members->addProvisional(ended);
     EXPECT_NE(members->find("entry-1"), nullptr);
     members->setHealth("entry-1", Health::Suspected);
-    EXPECT_NE(members->find("entry-1"), nullptr) << "it may be slow";
+    EXPECT_NE(members->find("entry-1"), nullptr) << "a suspected VM may only be slow";
     members->setHealth("entry-1", Health::Failed);
     EXPECT_EQ(members->find("entry-1"), nullptr);
     EXPECT_EQ(changes, 2);
-    // What the list shows stays, whatever the heartbeats say; and a VM that calls again is back.
+    // A VM that the list shows stays, whatever the heartbeats report. A failed VM that is announced again is added again.
     members->setHealth("entry-2", Health::Failed);
     EXPECT_NE(members->find("entry-2"), nullptr);
     members->addProvisional(ended);
--- a/src/membership/tests/subset_test.cpp
+++ b/src/membership/tests/subset_test.cpp
@@ -37,7 +37,7 @@
     std::size_t smallest = SIZE_MAX;
     std::size_t largest = 0;
     std::size_t fewestEntries = SIZE_MAX;
-    double highestShare = 0; ///< Of the mean, when each entry VM spreads its requests evenly over its subset.
+    double highestShare = 0; ///< Load of the busiest server relative to the mean, if entry VMs spread requests evenly over their subsets.
 };
 
 Balance balanceOf(const Subsets &subsets, const std::vector<std::string> &servers)
@@ -82,7 +82,7 @@
     const auto entries = names("entry", 380);
     const Subsets subsets = subsetsOf(servers, entries);
     const Balance balance = balanceOf(subsets, servers);
-    fmt::print("subsets of {} to {} servers, at least {} users a server, highest share {:.2f} of the mean\n",
+    fmt::print("subsets of {} to {} servers, at least {} entry VMs per server, highest load {:.2f} of the mean\n",
         balance.smallest,
         balance.largest,
         balance.fewestEntries,
@@ -91,7 +91,7 @@
     EXPECT_LE(balance.largest, SubsetSize * 3 / 2);
     EXPECT_GE(balance.fewestEntries, 6U);
     EXPECT_LE(balance.highestShare, 1.6);
-    // Zones are part of no decision: with servers dealt over 11 zones each subset has many of them.
+    // The choice ignores zones. With the servers spread over 11 zones, each subset covers several of them anyway.
     std::size_t fewestZones = 11;
     for (const auto &[entry, subset] : subsets) {
         std::set<std::size_t> zones;
@@ -120,7 +120,7 @@
         changedByEntry += differences(before.at(entry), afterEntry.at(entry));
         changedByServer += differences(before.at(entry), afterServer.at(entry));
     }
-    fmt::print("{} links; one entry VM less changes {}, one server less {}\n", assignments, changedByEntry, changedByServer);
+    fmt::print("{} assignments; removing one entry VM changes {}, removing one server {}\n", assignments, changedByEntry, changedByServer);
     EXPECT_LE(changedByEntry, assignments / 20);
     EXPECT_LE(changedByServer, assignments / 20);
 }
