--- a/src/membership/health.h
+++ b/src/membership/health.h
@@ -37,7 +37,7 @@
     Duration suspicionTimeout = std::chrono::seconds(5); ///< From Suspected to Failed, if the suspicion is not refuted.
 };
 
-/// Time since the neighbour was last heard directly, or since it was first probed.
+/// Time since the neighbour was last heard directly or since it was first probed, whichever is later.
 Duration timeSinceHeard(const ProbeRecord &record, TimePoint now);
 /// Records that the neighbour answered a direct probe. Late answers count as well.
 void recordAnswer(ProbeRecord &record, TimePoint now);
