--- a/src/admission/admission.h
+++ b/src/admission/admission.h
@@ -6,7 +6,7 @@
 #include "kernel/eventloop.h"
 #include "limits/customerlimiter.h"
 #include "metrics/metrics.h"
-#include "spending/spendingkeeper.h"
+#include "spending/spendinglimiter.h"
 
 #include <functional>
 #include <map>
@@ -22,7 +22,7 @@
     EventLoop *loop = nullptr;
     std::size_t maxOpen = 0; ///< Maximum number of requests that run or wait at once.
     std::shared_ptr<limits::CustomerLimiter> limits;
-    std::shared_ptr<spending::SpendingKeeper> spending;
+    std::shared_ptr<spending::SpendingLimiter> spending;
     std::shared_ptr<metrics::Metrics> metrics; ///< May be null.
 };
 
--- a/src/admission/admissionmodule.cpp
+++ b/src/admission/admissionmodule.cpp
@@ -26,7 +26,7 @@
         tools.loop = context.get<Runtime>()->loop;
         tools.maxOpen = context.get<settings::Settings>()->limits.openRequests;
         tools.limits = context.get<limits::CustomerLimiter>();
-        tools.spending = context.get<spending::SpendingKeeper>();
+        tools.spending = context.get<spending::SpendingLimiter>();
         tools.metrics = context.get<metrics::Metrics>();
         auto admission = Admission::create(std::move(tools));
         context.get<metrics::Metrics>()->gauge("admission_waiting", [admission] { return static_cast<double>(admission->waitingRequests()); });
--- a/src/claims/claimdecision.h
+++ b/src/claims/claimdecision.h
@@ -19,7 +19,7 @@
     std::string boot; ///< Of the holder's process: a restarted one knows nothing of its earlier claims.
     std::string nonce;
     std::string bodyHash;
-    KeptAnswer answer;
+    StoredResponse response;
 };
 
 /// What the holder of a claim said of it.
--- a/src/claims/claimkeeper.h
+++ b/src/claims/claimmanager.h
@@ -15,7 +15,7 @@
 
 using BeginHandler = std::function<void(BeginResult result)>;
 
-/// What a ClaimKeeper works with.
+/// What a ClaimManager works with.
 struct ClaimTools {
     EventLoop *loop = nullptr;
     std::shared_ptr<table::Table> table;
@@ -28,10 +28,10 @@
 ///
 /// One conditional write right before the dispatch is the permission to dispatch; a second one keeps the answer.
 /// Only the attempt that wrote a claim ever dispatches it. An attempt that meets another's claim asks its holder.
-class ClaimKeeper
+class ClaimManager
 {
 public:
-    static std::shared_ptr<ClaimKeeper> create(ClaimTools tools);
+    static std::shared_ptr<ClaimManager> create(ClaimTools tools);
 
     /// Tries to claim the key. @p handler is called once, within patience, or within timeout if the key is running.
     void begin(ClaimRequest request, BeginHandler handler);
@@ -39,14 +39,14 @@
     bool mayDispatch(const Claim &claim) const;
     /// Records how a claimed call ended. The end counts at once for whoever asks this VM; the table gets it as soon as it
     /// takes it.
-    void finish(const Claim &claim, Outcome outcome, KeptAnswer answer);
+    void finish(const Claim &claim, Outcome outcome, StoredResponse response);
     /// Ended calls whose end the table has not taken yet.
     std::size_t unsettled() const;
 
 private:
     struct Attempt;
     using AttemptPtr = std::shared_ptr<Attempt>;
-    ClaimKeeper() = default;
+    ClaimManager() = default;
     static AttemptView viewOf(const Attempt &attempt, TimePoint now);
     void follow(const AttemptPtr &attempt, Decision decision, Duration pause);
     void armPatience(const AttemptPtr &attempt);
@@ -60,7 +60,7 @@
     void end(const AttemptPtr &attempt, BeginOutcome outcome);
     void answerPeer(const std::string &payload, const peers::Reply &reply);
     ClaimTools tools_;
-    std::shared_ptr<WriteGrouper> grouper_;
+    std::shared_ptr<WriteBatcher> grouper_;
     std::shared_ptr<ClaimRegistry> registry_;
 };
 
--- a/src/claims/claimregistry.h
+++ b/src/claims/claimregistry.h
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "claims/claimrow.h"
-#include "claims/writegrouper.h"
+#include "claims/writebatcher.h"
 
 #include <functional>
 #include <memory>
@@ -13,7 +13,7 @@
 /// What the holder of a claim says of it.
 struct HolderAnswer {
     HolderState state = HolderState::NoAnswer;
-    KeptAnswer answer;
+    StoredResponse response;
 };
 
 using HolderReply = std::function<void(HolderAnswer answer)>;
@@ -26,14 +26,14 @@
 class ClaimRegistry
 {
 public:
-    static std::shared_ptr<ClaimRegistry> create(EventLoop &loop, std::shared_ptr<WriteGrouper> grouper, Holder holder);
+    static std::shared_ptr<ClaimRegistry> create(EventLoop &loop, std::shared_ptr<WriteBatcher> grouper, Holder holder);
 
     void open(const std::string &nonce);
     /// Forgets an open claim that was never dispatched and of which nothing can stand in the table.
     void close(const std::string &nonce);
     /// Keeps the end of an open claim, tells those who wait for it, and writes it to the table until the table has it.
     /// With NotRun the claim is taken back.
-    void settle(const Claim &claim, Outcome outcome, KeptAnswer answer);
+    void settle(const Claim &claim, Outcome outcome, StoredResponse response);
     /// Says what became of a claim; waits up to @p wait for its end.
     void ask(const std::string &nonce, Duration wait, HolderReply reply);
     /// Ended claims whose end the table has not taken.
@@ -49,7 +49,7 @@
         Claim claim;
         bool ended = false;
         Outcome outcome = Outcome::Unknown;
-        KeptAnswer answer;
+        StoredResponse response;
         std::vector<std::shared_ptr<Waiter>> waiters;
         Duration backoff{0};
     };
@@ -58,7 +58,7 @@
     void write(const std::string &nonce);
     void onWritten(const std::string &nonce, table::WriteOutcome outcome);
     EventLoop *loop_ = nullptr;
-    std::shared_ptr<WriteGrouper> grouper_;
+    std::shared_ptr<WriteBatcher> grouper_;
     Holder holder_;
     std::unordered_map<std::string, Entry> entries_; ///< By nonce.
     std::size_t unsettled_ = 0;
--- a/src/claims/claimrow.h
+++ b/src/claims/claimrow.h
@@ -14,7 +14,7 @@
 /// The claim before its dispatch.
 table::Item claimedItem(const Claim &claim, const Holder &holder);
 /// How the claim ended: Answered or Unknown.
-table::Item endedItem(const Claim &claim, const Holder &holder, Outcome outcome, const KeptAnswer &answer);
+table::Item endedItem(const Claim &claim, const Holder &holder, Outcome outcome, const StoredResponse &response);
 /// Reads an item back. A state that this version does not know is read as Unknown.
 ClaimRow rowOf(const table::Item &item);
 
--- a/src/claims/claimsmodule.cpp
+++ b/src/claims/claimsmodule.cpp
@@ -1,4 +1,4 @@
-#include "claims/claimkeeper.h"
+#include "claims/claimmanager.h"
 #include "kernel/module.h"
 #include "kernel/runtime.h"
 #include "lifecycle/lifecycle.h"
@@ -34,7 +34,7 @@
         tools.peers = context.get<peers::PeerTransport>();
         tools.members = context.get<membership::Members>();
         tools.holder = {context.get<settings::Settings>()->instance, text::randomHex(BootBytes)};
-        const auto keeper = ClaimKeeper::create(std::move(tools));
+        const auto keeper = ClaimManager::create(std::move(tools));
         waitForTableWhenDraining(context, keeper);
         context.get<metrics::Metrics>()->gauge("claims_unsettled", [keeper] { return static_cast<double>(keeper->unsettled()); });
         context.set(keeper);
@@ -43,10 +43,10 @@
 
 private:
     /// A VM that drains stays until the table has the ends of its calls, for a bounded time.
-    static void waitForTableWhenDraining(Context &context, const std::shared_ptr<ClaimKeeper> &keeper);
+    static void waitForTableWhenDraining(Context &context, const std::shared_ptr<ClaimManager> &keeper);
 };
 
-void ClaimsModule::waitForTableWhenDraining(Context &context, const std::shared_ptr<ClaimKeeper> &keeper)
+void ClaimsModule::waitForTableWhenDraining(Context &context, const std::shared_ptr<ClaimManager> &keeper)
 {
     const auto lifecycle = context.get<lifecycle::Lifecycle>();
     const EventLoop *loop = context.get<Runtime>()->loop;
--- a/src/claims/claimtypes.h
+++ b/src/claims/claimtypes.h
@@ -20,16 +20,16 @@
     std::string customer;
     std::string key; ///< The caller's Idempotency-Key.
     std::string bodyHash; ///< Of method, path and body: the same key must come with the same request.
-    Duration patience = std::chrono::milliseconds(500); ///< How long the table may take to decide the claim.
-    Duration timeout = std::chrono::seconds(10); ///< How long a repeat may wait for the answer of the running call.
+    Duration claimTimeout = std::chrono::milliseconds(500); ///< How long the table may take to decide the claim.
+    Duration answerTimeout = std::chrono::seconds(10); ///< How long a repeat may wait for the answer of the running call.
 };
 
 /// The answer kept for repeats.
-struct KeptAnswer {
+struct StoredResponse {
     int status = 0;
     std::string contentType;
     std::string body;
-    bool bodyKept = true; ///< False: the body was too large to keep.
+    bool hasBody = true; ///< False: the body was too large to keep.
 };
 
 /// What the claim of a key gave.
@@ -55,8 +55,8 @@
 struct BeginResult {
     BeginOutcome outcome = BeginOutcome::NotRun;
     Claim claim;
-    KeptAnswer answer;
-    bool keySeen = false; ///< The table was asked for the key, so the outcome speaks for earlier calls with it as well.
+    StoredResponse response;
+    bool keyLookedUp = false; ///< The table was asked for the key, so the outcome speaks for earlier calls with it as well.
 };
 
 } // namespace cardamomlift::claims
--- a/src/claims/internal/claimkeeper.cpp
+++ b/src/claims/internal/claimmanager.cpp
@@ -1,4 +1,4 @@
-#include "claims/claimkeeper.h"
+#include "claims/claimmanager.h"
 
 #include "claims/internal/claimwire.h"
 #include "text/digest.h"
@@ -22,7 +22,7 @@
 } // namespace
 
 /// One call of begin().
-struct ClaimKeeper::Attempt {
+struct ClaimManager::Attempt {
     Claim claim;
     BeginHandler handler;
     TimePoint claimBy;
@@ -33,33 +33,33 @@
     std::string releasedNonce;
     std::string silentNonce;
     ClaimRow inTheWay; ///< The claim of another attempt.
-    KeptAnswer answer;
+    StoredResponse response;
     bool keySeen = false;
     bool unsure = false; ///< A write of the claim got no answer; it may take effect even later.
     bool mayStand = false; ///< The claim may be in the table, or may come to be.
     bool ended = false;
 };
 
-std::shared_ptr<ClaimKeeper> ClaimKeeper::create(ClaimTools tools)
+std::shared_ptr<ClaimManager> ClaimManager::create(ClaimTools tools)
 {
-    std::shared_ptr<ClaimKeeper> keeper(new ClaimKeeper);
+    std::shared_ptr<ClaimManager> keeper(new ClaimManager);
     keeper->tools_ = std::move(tools);
     const ClaimTools &own = keeper->tools_;
-    keeper->grouper_ = WriteGrouper::create(*own.loop, own.table);
+    keeper->grouper_ = WriteBatcher::create(*own.loop, own.table);
     keeper->registry_ = ClaimRegistry::create(*own.loop, keeper->grouper_, own.holder);
     own.peers->handle(
         AskTopic, [raw = keeper.get()](const std::string &, const std::string &payload, const peers::Reply &reply) { raw->answerPeer(payload, reply); });
     return keeper;
 }
 
-void ClaimKeeper::begin(ClaimRequest request, BeginHandler handler)
+void ClaimManager::begin(ClaimRequest request, BeginHandler handler)
 {
     const Clock &clock = tools_.loop->clock();
     auto attempt = std::make_shared<Attempt>();
     attempt->handler = std::move(handler);
     attempt->claim.nonce = text::randomHex(NonceBytes);
     attempt->claim.expiresAt = std::chrono::duration_cast<std::chrono::seconds>((clock.wallNow() + Retention).time_since_epoch()).count();
-    attempt->waitBy = clock.now() + request.timeout;
+    attempt->waitBy = clock.now() + request.answerTimeout;
     attempt->claim.request = std::move(request);
     if (registry_->isFull()) {
         tools_.loop->post([this, attempt] { end(attempt, BeginOutcome::NotRun); });
@@ -69,7 +69,7 @@
     follow(attempt, {Step::WriteClaim, BeginOutcome::NotRun}, Duration(0));
 }
 
-AttemptView ClaimKeeper::viewOf(const Attempt &attempt, TimePoint now)
+AttemptView ClaimManager::viewOf(const Attempt &attempt, TimePoint now)
 {
     AttemptView view;
     view.nonce = attempt.claim.nonce;
@@ -82,7 +82,7 @@
     return view;
 }
 
-void ClaimKeeper::follow(const AttemptPtr &attempt, Decision decision, Duration pause)
+void ClaimManager::follow(const AttemptPtr &attempt, Decision decision, Duration pause)
 {
     if (decision.step == Step::End) {
         end(attempt, decision.outcome);
@@ -113,7 +113,7 @@
     writeClaim(attempt);
 }
 
-void ClaimKeeper::armPatience(const AttemptPtr &attempt)
+void ClaimManager::armPatience(const AttemptPtr &attempt)
 {
     if (attempt->patience != 0) {
         return;
@@ -122,18 +122,18 @@
     const Clock &clock = tools_.loop->clock();
     attempt->claim.begunAt = clock.now();
     attempt->claim.begunAtWall = clock.wallNow();
-    const Duration patience = std::min(attempt->claim.request.patience, LongestPatience);
+    const Duration patience = std::min(attempt->claim.request.claimTimeout, LongestPatience);
     attempt->claimBy = clock.now() + patience;
     attempt->patience = tools_.loop->after(patience, [this, attempt] { end(attempt, outcomeWhenLate(viewOf(*attempt, tools_.loop->now()))); });
 }
 
-void ClaimKeeper::disarmPatience(const AttemptPtr &attempt)
+void ClaimManager::disarmPatience(const AttemptPtr &attempt)
 {
     tools_.loop->cancel(attempt->patience);
     attempt->patience = 0;
 }
 
-void ClaimKeeper::writeClaim(const AttemptPtr &attempt)
+void ClaimManager::writeClaim(const AttemptPtr &attempt)
 {
     table::Write write;
     write.item = claimedItem(attempt->claim, tools_.holder);
@@ -148,7 +148,7 @@
     grouper_->submit(std::move(write), isWanted, [this, attempt](const table::WriteResult &result) { onClaimWritten(attempt, result.outcome); });
 }
 
-void ClaimKeeper::onClaimWritten(const AttemptPtr &attempt, table::WriteOutcome outcome)
+void ClaimManager::onClaimWritten(const AttemptPtr &attempt, table::WriteOutcome outcome)
 {
     if (attempt->ended) {
         return;
@@ -169,7 +169,7 @@
     follow(attempt, afterClaimWrite(outcome, viewOf(*attempt, tools_.loop->now())), pause);
 }
 
-void ClaimKeeper::read(const AttemptPtr &attempt)
+void ClaimManager::read(const AttemptPtr &attempt)
 {
     tools_.table->get(rowKey(attempt->claim.request), [this, attempt](const Result<std::optional<table::Item>> &item) {
         if (!attempt->ended) {
@@ -178,7 +178,7 @@
     });
 }
 
-void ClaimKeeper::onRead(const AttemptPtr &attempt, const Result<std::optional<table::Item>> &item)
+void ClaimManager::onRead(const AttemptPtr &attempt, const Result<std::optional<table::Item>> &item)
 {
     if (!item) {
         const Duration pause = attempt->backoff;
@@ -190,13 +190,13 @@
     if (item.value()) {
         row = rowOf(*item.value());
         attempt->inTheWay = *row;
-        attempt->answer = row->answer;
+        attempt->response = row->response;
     }
     attempt->keySeen = row && row->nonce != attempt->claim.nonce;
     follow(attempt, afterRead(row, viewOf(*attempt, tools_.loop->now())), Duration(0));
 }
 
-void ClaimKeeper::ask(const AttemptPtr &attempt)
+void ClaimManager::ask(const AttemptPtr &attempt)
 {
     const ClaimRow &row = attempt->inTheWay;
     const Duration wait = std::clamp(attempt->waitBy - tools_.loop->now(), Duration(0), AskWait);
@@ -218,7 +218,7 @@
         });
 }
 
-void ClaimKeeper::onAsked(const AttemptPtr &attempt, const HolderAnswer &answer)
+void ClaimManager::onAsked(const AttemptPtr &attempt, const HolderAnswer &answer)
 {
     const std::string &nonce = attempt->inTheWay.nonce;
     if (answer.state == HolderState::NoAnswer) {
@@ -227,11 +227,11 @@
     if (answer.state == HolderState::NotHeld || answer.state == HolderState::NotRun) {
         attempt->releasedNonce = nonce;
     }
-    attempt->answer = answer.answer;
+    attempt->response = answer.response;
     follow(attempt, afterAsk(answer.state, viewOf(*attempt, tools_.loop->now())), Duration(0));
 }
 
-void ClaimKeeper::end(const AttemptPtr &attempt, BeginOutcome outcome)
+void ClaimManager::end(const AttemptPtr &attempt, BeginOutcome outcome)
 {
     if (attempt->ended) {
         return;
@@ -247,28 +247,28 @@
     BeginResult result;
     result.outcome = outcome;
     result.claim = attempt->claim;
-    result.answer = attempt->answer;
-    result.keySeen = attempt->keySeen || outcome == BeginOutcome::Run;
+    result.response = attempt->response;
+    result.keyLookedUp = attempt->keySeen || outcome == BeginOutcome::Run;
     attempt->handler(std::move(result));
 }
 
-bool ClaimKeeper::mayDispatch(const Claim &claim) const
+bool ClaimManager::mayDispatch(const Claim &claim) const
 {
     const Clock &clock = tools_.loop->clock();
     return claims::mayDispatch(claim, clock.now(), clock.wallNow(), Lease);
 }
 
-void ClaimKeeper::finish(const Claim &claim, Outcome outcome, KeptAnswer answer)
+void ClaimManager::finish(const Claim &claim, Outcome outcome, StoredResponse response)
 {
-    registry_->settle(claim, outcome, std::move(answer));
+    registry_->settle(claim, outcome, std::move(response));
 }
 
-std::size_t ClaimKeeper::unsettled() const
+std::size_t ClaimManager::unsettled() const
 {
     return registry_->unsettled();
 }
 
-void ClaimKeeper::answerPeer(const std::string &payload, const peers::Reply &reply)
+void ClaimManager::answerPeer(const std::string &payload, const peers::Reply &reply)
 {
     const auto question = askOf(payload);
     if (!question || question->boot != tools_.holder.boot) {
--- a/src/claims/internal/claimregistry.cpp
+++ b/src/claims/internal/claimregistry.cpp
@@ -25,7 +25,7 @@
 
 } // namespace
 
-std::shared_ptr<ClaimRegistry> ClaimRegistry::create(EventLoop &loop, std::shared_ptr<WriteGrouper> grouper, Holder holder)
+std::shared_ptr<ClaimRegistry> ClaimRegistry::create(EventLoop &loop, std::shared_ptr<WriteBatcher> grouper, Holder holder)
 {
     std::shared_ptr<ClaimRegistry> registry(new ClaimRegistry);
     registry->loop_ = &loop;
@@ -49,24 +49,24 @@
     entries_.erase(found);
 }
 
-void ClaimRegistry::settle(const Claim &claim, Outcome outcome, KeptAnswer answer)
+void ClaimRegistry::settle(const Claim &claim, Outcome outcome, StoredResponse response)
 {
     Entry &entry = entries_[claim.nonce];
     if (entry.ended) {
         return;
     }
-    if (answer.body.size() > LargestBody || bodyBytes_ + answer.body.size() > MostBodyBytes) {
-        answer.body.clear();
-        answer.bodyKept = false;
+    if (response.body.size() > LargestBody || bodyBytes_ + response.body.size() > MostBodyBytes) {
+        response.body.clear();
+        response.hasBody = false;
     }
-    bodyBytes_ += answer.body.size();
+    bodyBytes_ += response.body.size();
     unsettled_++;
     entry.claim = claim;
     entry.ended = true;
     entry.outcome = outcome;
-    entry.answer = std::move(answer);
+    entry.response = std::move(response);
     entry.backoff = FirstBackoff;
-    tellWaiters(entry, {stateOf(outcome), entry.answer});
+    tellWaiters(entry, {stateOf(outcome), entry.response});
     write(claim.nonce);
 }
 
@@ -89,7 +89,7 @@
     }
     Entry &entry = found->second;
     if (entry.ended) {
-        loop_->post([reply = std::move(reply), answer = HolderAnswer{stateOf(entry.outcome), entry.answer}] { reply(answer); });
+        loop_->post([reply = std::move(reply), answer = HolderAnswer{stateOf(entry.outcome), entry.response}] { reply(answer); });
         return;
     }
     auto waiter = std::make_shared<Waiter>();
@@ -113,7 +113,7 @@
         write.kind = table::WriteKind::Delete;
         write.item.key = rowKey(entry.claim.request);
     } else {
-        write.item = endedItem(entry.claim, holder_, entry.outcome, entry.answer);
+        write.item = endedItem(entry.claim, holder_, entry.outcome, entry.response);
     }
     grouper_->submit(
         std::move(write), [] { return true; }, [this, nonce](const table::WriteResult &result) { onWritten(nonce, result.outcome); });
@@ -124,7 +124,7 @@
     const auto found = entries_.find(nonce);
     // A failed condition: another attempt took the released claim over, or our claim never took effect.
     if (outcome == table::WriteOutcome::Written || outcome == table::WriteOutcome::ConditionFailed) {
-        bodyBytes_ -= found->second.answer.body.size();
+        bodyBytes_ -= found->second.response.body.size();
         unsettled_--;
         entries_.erase(found);
         return;
--- a/src/claims/internal/claimrow.cpp
+++ b/src/claims/internal/claimrow.cpp
@@ -70,19 +70,19 @@
     return itemOf(claim, holder, StateClaimed);
 }
 
-table::Item endedItem(const Claim &claim, const Holder &holder, Outcome outcome, const KeptAnswer &answer)
+table::Item endedItem(const Claim &claim, const Holder &holder, Outcome outcome, const StoredResponse &response)
 {
     if (outcome != Outcome::Answered) {
         return itemOf(claim, holder, StateUnknown);
     }
     table::Item item = itemOf(claim, holder, StateAnswered);
-    item.attributes["status"] = std::to_string(answer.status);
-    item.attributes["contentType"] = toBase64(answer.contentType);
-    item.attributes["contentTypeSize"] = std::to_string(answer.contentType.size());
-    if (answer.bodyKept) {
+    item.attributes["status"] = std::to_string(response.status);
+    item.attributes["contentType"] = toBase64(response.contentType);
+    item.attributes["contentTypeSize"] = std::to_string(response.contentType.size());
+    if (response.hasBody) {
         item.attributes["bodyKept"] = BodyKept;
-        item.attributes["body"] = toBase64(answer.body);
-        item.attributes["bodySize"] = std::to_string(answer.body.size());
+        item.attributes["body"] = toBase64(response.body);
+        item.attributes["bodySize"] = std::to_string(response.body.size());
     }
     return item;
 }
@@ -98,10 +98,10 @@
     row.boot = table::attribute(item, "boot");
     row.nonce = table::attribute(item, "nonce");
     row.bodyHash = table::attribute(item, "bodyHash");
-    row.answer.status = static_cast<int>(number("status"));
-    row.answer.contentType = fromBase64(table::attribute(item, "contentType"), number("contentTypeSize"));
-    row.answer.bodyKept = table::attribute(item, "bodyKept") == BodyKept;
-    row.answer.body = fromBase64(table::attribute(item, "body"), number("bodySize"));
+    row.response.status = static_cast<int>(number("status"));
+    row.response.contentType = fromBase64(table::attribute(item, "contentType"), number("contentTypeSize"));
+    row.response.hasBody = table::attribute(item, "bodyKept") == BodyKept;
+    row.response.body = fromBase64(table::attribute(item, "body"), number("bodySize"));
     return row;
 }
 
--- a/src/claims/internal/claimwire.cpp
+++ b/src/claims/internal/claimwire.cpp
@@ -64,10 +64,10 @@
 {
     wire::AskReply message;
     message.set_state(toWire(answer.state));
-    message.set_status(answer.answer.status);
-    message.set_content_type(answer.answer.contentType);
-    message.set_body(answer.answer.body);
-    message.set_body_kept(answer.answer.bodyKept);
+    message.set_status(answer.response.status);
+    message.set_content_type(answer.response.contentType);
+    message.set_body(answer.response.body);
+    message.set_body_kept(answer.response.hasBody);
     return message.SerializeAsString();
 }
 
@@ -79,7 +79,7 @@
     }
     HolderAnswer answer;
     answer.state = fromWire(message.state());
-    answer.answer = {message.status(), message.content_type(), message.body(), message.body_kept()};
+    answer.response = {message.status(), message.content_type(), message.body(), message.body_kept()};
     return answer;
 }
 
--- a/src/claims/internal/writegrouper.cpp
+++ b/src/claims/internal/writebatcher.cpp
@@ -1,4 +1,4 @@
-#include "claims/writegrouper.h"
+#include "claims/writebatcher.h"
 
 #include "text/digest.h"
 
@@ -24,21 +24,21 @@
 
 } // namespace
 
-std::shared_ptr<WriteGrouper> WriteGrouper::create(EventLoop &loop, std::shared_ptr<table::Table> table)
+std::shared_ptr<WriteBatcher> WriteBatcher::create(EventLoop &loop, std::shared_ptr<table::Table> table)
 {
-    std::shared_ptr<WriteGrouper> grouper(new WriteGrouper);
+    std::shared_ptr<WriteBatcher> grouper(new WriteBatcher);
     grouper->loop_ = &loop;
     grouper->table_ = std::move(table);
     return grouper;
 }
 
-void WriteGrouper::submit(table::Write write, std::function<bool()> isWanted, table::WriteHandler handler)
+void WriteBatcher::submit(table::Write write, std::function<bool()> isWanted, table::WriteHandler handler)
 {
     queue_.push_back({std::move(write), std::move(isWanted), std::move(handler)});
     schedule();
 }
 
-void WriteGrouper::schedule()
+void WriteBatcher::schedule()
 {
     if (scheduled_ || inFlight_ || queue_.empty()) {
         return;
@@ -51,7 +51,7 @@
     });
 }
 
-WriteGrouper::Group WriteGrouper::takeGroup()
+WriteBatcher::Group WriteBatcher::takeGroup()
 {
     Group group;
     std::deque<Entry> left;
@@ -82,7 +82,7 @@
     return group;
 }
 
-void WriteGrouper::sendNext()
+void WriteBatcher::sendNext()
 {
     auto group = std::make_shared<Group>(takeGroup());
     if (group->empty()) {
@@ -105,7 +105,7 @@
     table_->transact(std::move(writes), text::randomHex(TokenBytes), handler);
 }
 
-void WriteGrouper::settle(Group &group, const table::WriteResult &result)
+void WriteBatcher::settle(Group &group, const table::WriteResult &result)
 {
     const bool isCancelled = result.outcome == table::WriteOutcome::ConditionFailed && group.size() > 1;
     if (!isCancelled) {
--- a/src/claims/tests/claimdecision_test.cpp
+++ b/src/claims/tests/claimdecision_test.cpp
@@ -96,10 +96,10 @@
         Claim claim;
         claim.request = {"shop", "key", "hash"};
         claim.expiresAt = 123;
-        const KeptAnswer answer{201, "text/plain", bytes.substr(256 - size)};
-        const table::Item item = endedItem(claim, {"entry-1", "boot"}, Outcome::Answered, answer);
+        const StoredResponse response{201, "text/plain", bytes.substr(256 - size)};
+        const table::Item item = endedItem(claim, {"entry-1", "boot"}, Outcome::Answered, response);
         EXPECT_EQ(table::attribute(item, "expiresAt"), "123");
-        EXPECT_EQ(rowOf(item).answer.body, answer.body);
-        EXPECT_EQ(rowOf(item).answer.contentType, "text/plain");
+        EXPECT_EQ(rowOf(item).response.body, response.body);
+        EXPECT_EQ(rowOf(item).response.contentType, "text/plain");
     }
 }
--- a/src/claims/tests/claimkeeper_test.cpp
+++ b/src/claims/tests/claimmanager_test.cpp
@@ -1,4 +1,4 @@
-#include "claims/claimkeeper.h"
+#include "claims/claimmanager.h"
 #include "peers/localtransport.h"
 #include "table/memorytable.h"
 
@@ -10,16 +10,16 @@
 namespace {
 
 /// Two entry VMs before one table.
-class ClaimKeeperTest : public ::testing::Test
+class ClaimManagerTest : public ::testing::Test
 {
 protected:
-    ClaimKeeperTest()
+    ClaimManagerTest()
     {
         first = keeper("entry-1");
         second = keeper("entry-2");
     }
 
-    std::shared_ptr<ClaimKeeper> keeper(const std::string &instance)
+    std::shared_ptr<ClaimManager> keeper(const std::string &instance)
     {
         transports.push_back(peers::LocalTransport::create(*loop, network, instance));
         auto members = membership::Members::create(instance);
@@ -27,10 +27,10 @@
         list[0].instance = "entry-1";
         list[1].instance = "entry-2";
         members->applyList(list);
-        return ClaimKeeper::create({loop.get(), table, transports.back(), members, {instance, "boot-" + instance}});
+        return ClaimManager::create({loop.get(), table, transports.back(), members, {instance, "boot-" + instance}});
     }
 
-    std::shared_ptr<BeginResult> begin(ClaimKeeper &at)
+    std::shared_ptr<BeginResult> begin(ClaimManager &at)
     {
         auto result = std::make_shared<BeginResult>();
         result->outcome = BeginOutcome::StillRunning;
@@ -55,13 +55,13 @@
     std::shared_ptr<peers::LocalNetwork> network = std::make_shared<peers::LocalNetwork>();
     std::shared_ptr<table::MemoryTable> table = table::MemoryTable::create(*loop, std::make_shared<table::MemoryRows>());
     std::vector<std::shared_ptr<peers::LocalTransport>> transports;
-    std::shared_ptr<ClaimKeeper> first;
-    std::shared_ptr<ClaimKeeper> second;
+    std::shared_ptr<ClaimManager> first;
+    std::shared_ptr<ClaimManager> second;
 };
 
 } // namespace
 
-TEST_F(ClaimKeeperTest, RepeatTakesOverAfterALongWait)
+TEST_F(ClaimManagerTest, RepeatTakesOverAfterALongWait)
 {
     const auto holder = begin(*first);
     ASSERT_EQ(holder->outcome, BeginOutcome::Run);
@@ -75,7 +75,7 @@
     EXPECT_TRUE(second->mayDispatch(repeat->claim));
 }
 
-TEST_F(ClaimKeeperTest, WaitingRepeatReadsTheTableOnce)
+TEST_F(ClaimManagerTest, WaitingRepeatReadsTheTableOnce)
 {
     begin(*first);
     const auto repeat = begin(*second);
@@ -85,24 +85,24 @@
     EXPECT_LE(transports[1]->counters().callsSent, 11U);
 }
 
-TEST_F(ClaimKeeperTest, LargeAnswerIsKeptWithoutItsBody)
+TEST_F(ClaimManagerTest, LargeAnswerIsKeptWithoutItsBody)
 {
     const auto holder = begin(*first);
     first->finish(holder->claim, Outcome::Answered, {200, "text/plain", std::string(300 * 1024, 'x')});
     run();
     const auto repeat = begin(*second);
     EXPECT_EQ(repeat->outcome, BeginOutcome::Replay);
-    EXPECT_EQ(repeat->answer.status, 200);
-    EXPECT_FALSE(repeat->answer.bodyKept);
+    EXPECT_EQ(repeat->response.status, 200);
+    EXPECT_FALSE(repeat->response.hasBody);
 }
 
-TEST_F(ClaimKeeperTest, TableDownIsNotRunAtOnceAndTakenBackLater)
+TEST_F(ClaimManagerTest, TableDownIsNotRunAtOnceAndTakenBackLater)
 {
     table->faults.loseAnswers = true;
     const auto holder = begin(*first);
     run(std::chrono::seconds(1));
     EXPECT_EQ(holder->outcome, BeginOutcome::NotRun);
-    EXPECT_FALSE(holder->keySeen);
+    EXPECT_FALSE(holder->keyLookedUp);
     EXPECT_EQ(first->unsettled(), 1U);
     table->faults.loseAnswers = false;
     run(std::chrono::seconds(6));
--- a/src/claims/tests/claimwalk_test.cpp
+++ b/src/claims/tests/claimmodel_test.cpp
@@ -1,4 +1,4 @@
-#include "claims/claimkeeper.h"
+#include "claims/claimmanager.h"
 #include "peers/localtransport.h"
 #include "table/memorytable.h"
 
@@ -130,7 +130,7 @@
     std::shared_ptr<StepTable> table;
     std::shared_ptr<peers::LocalTransport> transport;
     std::shared_ptr<membership::Members> members;
-    std::shared_ptr<ClaimKeeper> keeper;
+    std::shared_ptr<ClaimManager> keeper;
     bool begun = false;
     bool crashed = false;
     bool paused = false;
@@ -207,7 +207,7 @@
             list[i].instance = "entry-" + std::to_string(i);
         }
         node.members->applyList(list);
-        node.keeper = ClaimKeeper::create({node.loop.get(), node.table, node.transport, node.members, {instance, "boot-" + instance}});
+        node.keeper = ClaimManager::create({node.loop.get(), node.table, node.transport, node.members, {instance, "boot-" + instance}});
     }
 
     void begin(std::size_t index)
@@ -224,7 +224,7 @@
             const bool isNotRun = node.result.outcome == BeginOutcome::NotRun;
             tell(node, isNotRun ? Outcome::NotRun : Outcome::Unknown, "");
             if (node.result.outcome == BeginOutcome::Replay) {
-                tell(node, Outcome::Answered, node.result.answer.body);
+                tell(node, Outcome::Answered, node.result.response.body);
             }
         });
         pump();
--- a/src/claims/tests/writegrouper_test.cpp
+++ b/src/claims/tests/writebatcher_test.cpp
@@ -1,4 +1,4 @@
-#include "claims/writegrouper.h"
+#include "claims/writebatcher.h"
 #include "table/memorytable.h"
 
 #include <gtest/gtest.h>
@@ -9,7 +9,7 @@
 
 namespace {
 
-class WriteGrouperTest : public ::testing::Test
+class WriteBatcherTest : public ::testing::Test
 {
 protected:
     void submit(const std::string &key, table::ConditionKind condition = table::ConditionKind::ItemAbsent, bool isWanted = true)
@@ -34,13 +34,13 @@
     std::unique_ptr<EventLoop> loop = std::move(EventLoop::create(clock).value());
     std::shared_ptr<table::MemoryRows> rows = std::make_shared<table::MemoryRows>();
     std::shared_ptr<table::MemoryTable> table = table::MemoryTable::create(*loop, rows);
-    std::shared_ptr<WriteGrouper> grouper = WriteGrouper::create(*loop, table);
+    std::shared_ptr<WriteBatcher> grouper = WriteBatcher::create(*loop, table);
     std::vector<std::optional<WriteOutcome>> outcomes;
 };
 
 } // namespace
 
-TEST_F(WriteGrouperTest, GathersWritesOfOneTurn)
+TEST_F(WriteBatcherTest, GathersWritesOfOneTurn)
 {
     for (int i = 0; i < 250; i++) {
         submit("key-" + std::to_string(i));
@@ -50,7 +50,7 @@
     EXPECT_EQ(rows->size(), 250U);
 }
 
-TEST_F(WriteGrouperTest, SettlesTheFailedAndSendsTheOthersAgain)
+TEST_F(WriteBatcherTest, SettlesTheFailedAndSendsTheOthersAgain)
 {
     submit("taken");
     run();
@@ -63,7 +63,7 @@
     EXPECT_EQ(outcomes[3], WriteOutcome::Written);
 }
 
-TEST_F(WriteGrouperTest, KeepsTheOrderOfOneKey)
+TEST_F(WriteBatcherTest, KeepsTheOrderOfOneKey)
 {
     submit("key");
     submit("key");
@@ -74,7 +74,7 @@
     EXPECT_EQ(outcomes[2], WriteOutcome::Written);
 }
 
-TEST_F(WriteGrouperTest, SendsNothingThatIsNoLongerWanted)
+TEST_F(WriteBatcherTest, SendsNothingThatIsNoLongerWanted)
 {
     submit("key", table::ConditionKind::ItemAbsent, false);
     run();
@@ -82,7 +82,7 @@
     EXPECT_EQ(table->counters().writeRequests, 0U);
 }
 
-TEST_F(WriteGrouperTest, LostAnswerIsUnknownForAll)
+TEST_F(WriteBatcherTest, LostAnswerIsUnknownForAll)
 {
     table->faults.loseAnswers = true;
     submit("a");
--- a/src/claims/writegrouper.h
+++ b/src/claims/writebatcher.h
@@ -14,10 +14,10 @@
 ///
 /// A write that comes alone is sent at once, alone. When a transaction is cancelled because some conditions failed, those
 /// writes are settled and the others are sent again. Writes of one key keep their order.
-class WriteGrouper
+class WriteBatcher
 {
 public:
-    static std::shared_ptr<WriteGrouper> create(EventLoop &loop, std::shared_ptr<table::Table> table);
+    static std::shared_ptr<WriteBatcher> create(EventLoop &loop, std::shared_ptr<table::Table> table);
 
     /// Queues @p write. @p isWanted is asked right before sending; if it says false nothing is sent and the outcome is
     /// NotWritten. @p handler is called once, never from inside submit().
@@ -30,7 +30,7 @@
         table::WriteHandler handler;
     };
     using Group = std::vector<Entry>;
-    WriteGrouper() = default;
+    WriteBatcher() = default;
     void schedule();
     void sendNext();
     Group takeGroup();
--- a/src/gateway/gatewaymodule.cpp
+++ b/src/gateway/gatewaymodule.cpp
@@ -37,7 +37,7 @@
         tools.contracts = context.get<contract::ContractSet>();
         tools.admission = context.get<admission::Admission>();
         tools.planner = context.get<retry::AttemptPlanner>();
-        tools.claims = context.get<claims::ClaimKeeper>();
+        tools.claims = context.get<claims::ClaimManager>();
         tools.demand = context.get<fleet::DemandMeter>();
         tools.metrics = context.get<metrics::Metrics>();
         tools.lifecycle = lifecycle;
--- a/src/gateway/gatewaytypes.h
+++ b/src/gateway/gatewaytypes.h
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "admission/admission.h"
-#include "claims/claimkeeper.h"
+#include "claims/claimmanager.h"
 #include "contract/contractset.h"
 #include "engine/engineclient.h"
 #include "fleet/demand.h"
@@ -29,7 +29,7 @@
     std::shared_ptr<contract::ContractSet> contracts;
     std::shared_ptr<admission::Admission> admission;
     std::shared_ptr<retry::AttemptPlanner> planner;
-    std::shared_ptr<claims::ClaimKeeper> claims;
+    std::shared_ptr<claims::ClaimManager> claims;
     std::shared_ptr<metrics::Metrics> metrics;
     std::shared_ptr<fleet::DemandMeter> demand;
     std::shared_ptr<lifecycle::Lifecycle> lifecycle;
--- a/src/gateway/internal/servicehandler.cpp
+++ b/src/gateway/internal/servicehandler.cpp
@@ -169,21 +169,21 @@
     claim.customer = call->caller.contract->contract.customer;
     claim.key = std::string(http::headerValue(request.headers, IdempotencyHeader));
     claim.bodyHash = text::sha256Hex(request.method + " " + request.path + "\n" + request.body);
-    claim.patience = std::max(LeastPatience, Duration(std::chrono::milliseconds(call->serviceClass.waitUpToMs)));
-    claim.timeout = std::max(Duration(0), call->answerBy - tools_.loop->now());
+    claim.claimTimeout = std::max(LeastPatience, Duration(std::chrono::milliseconds(call->serviceClass.waitUpToMs)));
+    claim.answerTimeout = std::max(Duration(0), call->answerBy - tools_.loop->now());
     tools_.claims->begin(std::move(claim), [this, call](claims::BeginResult result) { onClaim(call, result); });
 }
 
 void ServiceHandler::onClaim(const std::shared_ptr<Call> &call, const claims::BeginResult &result)
 {
     call->claim = result.claim;
-    call->keyLookedUp = result.keySeen;
+    call->keyLookedUp = result.keyLookedUp;
     switch (result.outcome) {
     case claims::BeginOutcome::Run:
         dispatch(call);
         return;
     case claims::BeginOutcome::Replay:
-        replay(call, result.answer);
+        replay(call, result.response);
         return;
     case claims::BeginOutcome::StillRunning:
         refuse(call, {metrics::RefusalReason::StillRunning, "A call with this key is running.", ComeBackSoon, ErrorOutcome::Unknown});
@@ -200,15 +200,15 @@
     }
 }
 
-void ServiceHandler::replay(const std::shared_ptr<Call> &call, const claims::KeptAnswer &kept)
+void ServiceHandler::replay(const std::shared_ptr<Call> &call, const claims::StoredResponse &stored)
 {
-    http::Response response{kept.status, {{"Content-Type", kept.contentType}}, kept.body};
-    if (!kept.bodyKept) {
+    http::Response response{stored.status, {{"Content-Type", stored.contentType}}, stored.body};
+    if (!stored.hasBody) {
         Json::Value body;
         body["answered"] = true;
-        body["status"] = kept.status;
+        body["status"] = stored.status;
         body["message"] = "The call with this key ran and was answered. Its answer was too large to be kept.";
-        response = http::jsonResponse(kept.status, body);
+        response = http::jsonResponse(stored.status, body);
         response.headers["Idempotent-Body-Kept"] = "false";
     }
     response.headers["Idempotent-Replayed"] = "true";
--- a/src/gateway/servicehandler.h
+++ b/src/gateway/servicehandler.h
@@ -22,7 +22,7 @@
     void refuse(const std::shared_ptr<Call> &call, CallerError error);
     void begin(const std::shared_ptr<Call> &call);
     void onClaim(const std::shared_ptr<Call> &call, const claims::BeginResult &result);
-    void replay(const std::shared_ptr<Call> &call, const claims::KeptAnswer &kept);
+    void replay(const std::shared_ptr<Call> &call, const claims::StoredResponse &stored);
     /// Ends a call that no server ran: takes its claim back and refuses it.
     void endNotRun(const std::shared_ptr<Call> &call, const CallerError &error);
     void dispatch(const std::shared_ptr<Call> &call);
--- a/src/spending/internal/spendingaccount.h
+++ b/src/spending/internal/spendingaccount.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "spending/spendingkeeper.h"
+#include "spending/spendinglimiter.h"
 
 #include <algorithm>
 #include <list>
@@ -14,13 +14,13 @@
 inline constexpr Duration TableBackoff = std::chrono::milliseconds(500);
 
 /// One change of the allotment that is being written.
-struct SpendingKeeper::Step {
+struct SpendingLimiter::Step {
     Micros amount = 0; ///< Positive: taken. Negative: given back, and no longer held.
     AllotmentItem after;
     bool inDoubt = false; ///< An earlier write of this step may have taken effect, or still may.
 };
 
-struct SpendingKeeper::Account {
+struct SpendingLimiter::Account {
     struct Waiting {
         Micros micros = 0;
         ReserveHandler handler;
--- a/src/spending/internal/spendingkeeper.cpp
+++ b/src/spending/internal/spendinglimiter.cpp
@@ -1,4 +1,4 @@
-#include "spending/spendingkeeper.h"
+#include "spending/spendinglimiter.h"
 
 #include "kernel/log.h"
 #include "spending/spendingrules.h"
@@ -41,11 +41,11 @@
 
 } // namespace
 
-std::shared_ptr<SpendingKeeper> SpendingKeeper::create(SpendingTools tools)
+std::shared_ptr<SpendingLimiter> SpendingLimiter::create(SpendingTools tools)
 {
-    std::shared_ptr<SpendingKeeper> keeper(new SpendingKeeper);
+    std::shared_ptr<SpendingLimiter> keeper(new SpendingLimiter);
     keeper->tools_ = std::move(tools);
-    const std::weak_ptr<SpendingKeeper> weak = keeper;
+    const std::weak_ptr<SpendingLimiter> weak = keeper;
     keeper->tools_.contracts->onChange([weak](const contract::ContractInForce &contract) {
         if (const auto self = weak.lock()) {
             self->onContract(contract);
@@ -65,24 +65,24 @@
     return keeper;
 }
 
-SpendingKeeper::~SpendingKeeper()
+SpendingLimiter::~SpendingLimiter()
 {
     tools_.loop->cancel(tidyTimer_);
 }
 
-void SpendingKeeper::count(std::string_view name)
+void SpendingLimiter::count(std::string_view name)
 {
     if (tools_.metrics) {
         tools_.metrics->add(name);
     }
 }
 
-bool SpendingKeeper::isToday(const AccountKey &key) const
+bool SpendingLimiter::isToday(const AccountKey &key) const
 {
     return key.day == dayOf(tools_.loop->clock().wallNow());
 }
 
-SpendingKeeper::AccountPtr SpendingKeeper::accountOf(const AccountKey &key, const contract::ContractInForce &contract)
+SpendingLimiter::AccountPtr SpendingLimiter::accountOf(const AccountKey &key, const contract::ContractInForce &contract)
 {
     AccountPtr &account = accounts_[key];
     if (!account) {
@@ -97,7 +97,7 @@
     return account;
 }
 
-void SpendingKeeper::onContract(const contract::ContractInForce &contract)
+void SpendingLimiter::onContract(const contract::ContractInForce &contract)
 {
     for (const auto &[key, account] : accounts_) {
         if (key.customer != contract.contract.customer || contract.version.version <= account->boundVersion) {
@@ -112,7 +112,7 @@
     }
 }
 
-void SpendingKeeper::reserve(const contract::ContractInForce &contract, Micros micros, ReserveHandler handler)
+void SpendingLimiter::reserve(const contract::ContractInForce &contract, Micros micros, ReserveHandler handler)
 {
     const WallTime wallNow = tools_.loop->clock().wallNow();
     const AccountKey key{contract.contract.customer, dayOf(wallNow)};
@@ -138,7 +138,7 @@
         handler({ReserveOutcome::TableDown, {}, TableBackoff});
         return;
     }
-    const std::weak_ptr<SpendingKeeper> weak = weak_from_this();
+    const std::weak_ptr<SpendingLimiter> weak = weak_from_this();
     const TimerId timer = tools_.loop->after(LongestWait, [weak, account] {
         if (const auto self = weak.lock()) {
             self->failWaiting(account, ReserveOutcome::TableDown, TableBackoff);
@@ -149,7 +149,7 @@
     next(account);
 }
 
-void SpendingKeeper::settle(const Reservation &reservation, Micros spent)
+void SpendingLimiter::settle(const Reservation &reservation, Micros spent)
 {
     const auto found = accounts_.find(reservation.account);
     if (found == accounts_.end() || reservation.micros == 0) {
@@ -168,7 +168,7 @@
 }
 
 // Decides what this account needs next. Called after everything that happens to it.
-void SpendingKeeper::next(const AccountPtr &account)
+void SpendingLimiter::next(const AccountPtr &account)
 {
     if (account->step || account->isReading || account->asksOpen > 0) {
         return;
@@ -196,7 +196,7 @@
     }
 }
 
-bool SpendingKeeper::returnsNow(const AccountPtr &account) const
+bool SpendingLimiter::returnsNow(const AccountPtr &account) const
 {
     if (!isToday(account->key)) {
         return false;
@@ -208,7 +208,7 @@
     return account->held > 0 && (account->giveBack || !account->mayUseHeld());
 }
 
-void SpendingKeeper::take(const AccountPtr &account)
+void SpendingLimiter::take(const AccountPtr &account)
 {
     if (!account->isKnown) {
         readItem(account);
@@ -237,7 +237,7 @@
     failWaiting(account, ReserveOutcome::BoundReached, mayFree ? ExhaustedFor : untilNextDay(tools_.loop->clock().wallNow()));
 }
 
-void SpendingKeeper::takeAhead(const AccountPtr &account)
+void SpendingLimiter::takeAhead(const AccountPtr &account)
 {
     const TimePoint now = tools_.loop->now();
     const bool isLow = account->held < account->perSecond * LowWaterSeconds;
@@ -252,7 +252,7 @@
     }
 }
 
-void SpendingKeeper::serveWaiting(const AccountPtr &account)
+void SpendingLimiter::serveWaiting(const AccountPtr &account)
 {
     if (!account->mayUseHeld()) {
         return;
@@ -274,7 +274,7 @@
     }
 }
 
-void SpendingKeeper::failWaiting(const AccountPtr &account, ReserveOutcome outcome, Duration retryAfter)
+void SpendingLimiter::failWaiting(const AccountPtr &account, ReserveOutcome outcome, Duration retryAfter)
 {
     for (auto &entry : std::exchange(account->waiting, {})) {
         tools_.loop->cancel(entry.timer);
@@ -283,7 +283,7 @@
 }
 
 // Asks some VMs that may hold unused money to give it back to the table. Says whether it asked any.
-bool SpendingKeeper::askHolders(const AccountPtr &account)
+bool SpendingLimiter::askHolders(const AccountPtr &account)
 {
     if (!tools_.peers || !tools_.members) {
         return false;
@@ -304,7 +304,7 @@
         targets.push_back(*vm);
     }
     account->asksOpen = targets.size();
-    const std::weak_ptr<SpendingKeeper> weak = weak_from_this();
+    const std::weak_ptr<SpendingLimiter> weak = weak_from_this();
     for (const membership::Vm &vm : targets) {
         count("spending_release_asks_total");
         tools_.peers->send(
@@ -320,7 +320,7 @@
     return !targets.empty();
 }
 
-void SpendingKeeper::onReleaseAsked(const std::string &payload, peers::Reply reply)
+void SpendingLimiter::onReleaseAsked(const std::string &payload, peers::Reply reply)
 {
     const auto found = accounts_.find(readAccountKey(payload));
     if (found == accounts_.end() || found->second->held <= 0 || !found->second->waiting.empty()) {
@@ -333,7 +333,7 @@
     next(account);
 }
 
-void SpendingKeeper::drain()
+void SpendingLimiter::drain()
 {
     draining_ = true;
     for (const auto &[key, account] : accounts_) {
@@ -342,7 +342,7 @@
     }
 }
 
-std::size_t SpendingKeeper::openReturns() const
+std::size_t SpendingLimiter::openReturns() const
 {
     const TimePoint now = tools_.loop->now();
     return static_cast<std::size_t>(std::count_if(accounts_.begin(), accounts_.end(), [now](const auto &entry) {
@@ -351,13 +351,13 @@
     }));
 }
 
-AccountView SpendingKeeper::view(const AccountKey &account) const
+AccountView SpendingLimiter::view(const AccountKey &account) const
 {
     const auto found = accounts_.find(account);
     return found == accounts_.end() ? AccountView() : AccountView{found->second->held, found->second->reserved, found->second->spent};
 }
 
-void SpendingKeeper::tidy()
+void SpendingLimiter::tidy()
 {
     const TimePoint now = tools_.loop->now();
     const auto seconds = std::chrono::duration_cast<std::chrono::seconds>(TidyPeriod).count();
--- a/src/spending/internal/spendingsteps.cpp
+++ b/src/spending/internal/spendinglimitertable.cpp
@@ -1,6 +1,6 @@
 // How a keeper reads and writes an account's item in the table, and finds out what became of a write.
 
-#include "spending/spendingkeeper.h"
+#include "spending/spendinglimiter.h"
 
 #include "spending/spendingrules.h"
 #include "spendingaccount.h"
@@ -18,10 +18,10 @@
 
 } // namespace
 
-void SpendingKeeper::readStored(const AccountPtr &account, std::function<void(const AllotmentItem &stored)> handler)
+void SpendingLimiter::readStored(const AccountPtr &account, std::function<void(const AllotmentItem &stored)> handler)
 {
     account->isReading = true;
-    const std::weak_ptr<SpendingKeeper> weak = weak_from_this();
+    const std::weak_ptr<SpendingLimiter> weak = weak_from_this();
     tools_.table->get(keyOf(account->key), [weak, account, handler = std::move(handler)](Result<std::optional<table::Item>> item) {
         const auto self = weak.lock();
         if (!self) {
@@ -37,7 +37,7 @@
     });
 }
 
-void SpendingKeeper::readItem(const AccountPtr &account)
+void SpendingLimiter::readItem(const AccountPtr &account)
 {
     // NOTE readStored() calls its handler only while the keeper lives.
     readStored(account, [this, account](const AllotmentItem &stored) {
@@ -48,7 +48,7 @@
     });
 }
 
-void SpendingKeeper::startStep(const AccountPtr &account, Micros amount)
+void SpendingLimiter::startStep(const AccountPtr &account, Micros amount)
 {
     Step step;
     step.amount = amount;
@@ -65,7 +65,7 @@
     writeStep(account);
 }
 
-void SpendingKeeper::writeStep(const AccountPtr &account)
+void SpendingLimiter::writeStep(const AccountPtr &account)
 {
     const AllotmentItem &after = account->step->after;
     table::Write write;
@@ -75,7 +75,7 @@
         write.condition = {table::ConditionKind::ItemAbsent, {}, {}};
     }
     count("spending_writes_total");
-    const std::weak_ptr<SpendingKeeper> weak = weak_from_this();
+    const std::weak_ptr<SpendingLimiter> weak = weak_from_this();
     tools_.table->write(std::move(write), [weak, account](const table::WriteResult &result) {
         if (const auto self = weak.lock()) {
             self->onWritten(account, result.outcome);
@@ -83,7 +83,7 @@
     });
 }
 
-void SpendingKeeper::onWritten(const AccountPtr &account, table::WriteOutcome outcome)
+void SpendingLimiter::onWritten(const AccountPtr &account, table::WriteOutcome outcome)
 {
     Step &step = *account->step;
     if (outcome == table::WriteOutcome::Written) {
@@ -111,14 +111,14 @@
     onTableDown(account);
 }
 
-void SpendingKeeper::resolve(const AccountPtr &account)
+void SpendingLimiter::resolve(const AccountPtr &account)
 {
     readStored(account, [this, account](const AllotmentItem &stored) { judgeStep(account, stored); });
 }
 
 // Finds out whether a write whose answer was lost took effect. Only an item that is newer than the one the write was
 // based on proves that it did not and never will.
-void SpendingKeeper::judgeStep(const AccountPtr &account, const AllotmentItem &stored)
+void SpendingLimiter::judgeStep(const AccountPtr &account, const AllotmentItem &stored)
 {
     Step &step = *account->step;
     if (stored.version == step.after.version - 1) {
@@ -137,7 +137,7 @@
     endStep(account, tookEffect);
 }
 
-void SpendingKeeper::endStep(const AccountPtr &account, bool tookEffect)
+void SpendingLimiter::endStep(const AccountPtr &account, bool tookEffect)
 {
     const Micros amount = account->step->amount;
     if (tookEffect && account->step->after.boundVersion >= account->boundVersion) {
@@ -154,7 +154,7 @@
     next(account);
 }
 
-void SpendingKeeper::onTableDown(const AccountPtr &account)
+void SpendingLimiter::onTableDown(const AccountPtr &account)
 {
     account->downUntil = tools_.loop->now() + TableBackoff;
     account->isKnown = false;
@@ -163,7 +163,7 @@
         reply(std::string());
     }
     failWaiting(account, ReserveOutcome::TableDown, TableBackoff);
-    const std::weak_ptr<SpendingKeeper> weak = weak_from_this();
+    const std::weak_ptr<SpendingLimiter> weak = weak_from_this();
     tools_.loop->after(TableBackoff, [weak, account] {
         const auto self = weak.lock();
         if (!self) {
@@ -178,7 +178,7 @@
     });
 }
 
-void SpendingKeeper::forgetDayBefore(const AccountKey &today)
+void SpendingLimiter::forgetDayBefore(const AccountKey &today)
 {
     table::Write write;
     write.kind = table::WriteKind::Delete;
--- a/src/spending/spendingkeeper.h
+++ b/src/spending/spendinglimiter.h
@@ -44,11 +44,11 @@
 /// Keeps the spending bound of each customer over all entry VMs. A VM spends only what it took from the table before,
 /// and the table gives out no more than the bound; so whoever dies, pauses or is cut off takes its part with it and the
 /// sum stays within the bound.
-class SpendingKeeper : public std::enable_shared_from_this<SpendingKeeper>
+class SpendingLimiter : public std::enable_shared_from_this<SpendingLimiter>
 {
 public:
-    static std::shared_ptr<SpendingKeeper> create(SpendingTools tools);
-    ~SpendingKeeper();
+    static std::shared_ptr<SpendingLimiter> create(SpendingTools tools);
+    ~SpendingLimiter();
 
     /// Sets @p micros aside. @p handler is called once, from inside this call if enough is held.
     void reserve(const contract::ContractInForce &contract, Micros micros, ReserveHandler handler);
@@ -64,7 +64,7 @@
     struct Account;
     struct Step;
     using AccountPtr = std::shared_ptr<Account>;
-    SpendingKeeper() = default;
+    SpendingLimiter() = default;
     AccountPtr accountOf(const AccountKey &key, const contract::ContractInForce &contract);
     void onContract(const contract::ContractInForce &contract);
     void next(const AccountPtr &account);
--- a/src/spending/spendingmodule.cpp
+++ b/src/spending/spendingmodule.cpp
@@ -2,7 +2,7 @@
 #include "kernel/runtime.h"
 #include "lifecycle/lifecycle.h"
 #include "settings/settingstypes.h"
-#include "spending/spendingkeeper.h"
+#include "spending/spendinglimiter.h"
 
 namespace cardamomlift::spending {
 
@@ -31,7 +31,7 @@
         tools.members = context.get<membership::Members>();
         tools.peers = context.get<peers::PeerTransport>();
         tools.metrics = context.get<metrics::Metrics>();
-        auto keeper = SpendingKeeper::create(std::move(tools));
+        auto keeper = SpendingLimiter::create(std::move(tools));
         auto lifecycle = context.get<lifecycle::Lifecycle>();
         lifecycle->onDrain([keeper] { keeper->drain(); });
         lifecycle->addProbe("spending", [keeper] { return keeper->openReturns(); });
--- a/src/spending/tests/spendingkeeper_test.cpp
+++ b/src/spending/tests/spendinglimiter_test.cpp
@@ -1,5 +1,5 @@
 #include "peers/localtransport.h"
-#include "spending/spendingkeeper.h"
+#include "spending/spendinglimiter.h"
 #include "spending/spendingrules.h"
 #include "table/memorytable.h"
 
@@ -28,7 +28,7 @@
     std::shared_ptr<contract::ContractSet> contracts = contract::ContractSet::create();
     std::shared_ptr<membership::Members> members;
     std::shared_ptr<peers::LocalTransport> transport;
-    std::shared_ptr<SpendingKeeper> keeper;
+    std::shared_ptr<SpendingLimiter> keeper;
     std::vector<Reservation> reserved;
     Micros spent = 0;
     std::map<ReserveOutcome, int> outcomes;
@@ -50,7 +50,7 @@
             entry->members = membership::Members::create(vm.instance);
             entry->members->applyList(list);
             entry->transport = peers::LocalTransport::create(*loop_, network_, vm.instance);
-            entry->keeper = SpendingKeeper::create({loop_.get(), vm.instance, entry->table, entry->contracts, entry->members, entry->transport, nullptr});
+            entry->keeper = SpendingLimiter::create({loop_.get(), vm.instance, entry->table, entry->contracts, entry->members, entry->transport, nullptr});
         }
         putInForce(1, perDayCents);
     }
--- a/src/spending/tests/spendingwalk_test.cpp
+++ b/src/spending/tests/spendingmodel_test.cpp
@@ -1,5 +1,5 @@
 #include "kernel/log.h"
-#include "spending/spendingkeeper.h"
+#include "spending/spendinglimiter.h"
 #include "spending/spendingrules.h"
 #include "table/memorytable.h"
 
@@ -101,7 +101,7 @@
 
 struct Vm {
     std::unique_ptr<LateTable> table;
-    std::shared_ptr<SpendingKeeper> keeper;
+    std::shared_ptr<SpendingLimiter> keeper;
     std::vector<Reservation> open;
     Micros lost = 0; ///< Reserved by requests of a VM that died: what they used is not known, so all of it counts.
 };
@@ -240,13 +240,13 @@
     {
         contracts_[index] = contract::ContractSet::create();
         vms_[index].keeper =
-            SpendingKeeper::create({&loop_, instance, std::shared_ptr<table::Table>(vms_[index].table.get(), [](auto *) {}), contracts_[index]});
+            SpendingLimiter::create({&loop_, instance, std::shared_ptr<table::Table>(vms_[index].table.get(), [](auto *) {}), contracts_[index]});
     }
     void reserve(std::size_t index, Micros micros)
     {
         Vm &vm = vms_[index];
         // A request that a dead VM had not yet let in never runs.
-        const std::weak_ptr<SpendingKeeper> keeper = vm.keeper;
+        const std::weak_ptr<SpendingLimiter> keeper = vm.keeper;
         vm.keeper->reserve(*contract_, micros, [&vm, keeper](const ReserveResult &result) {
             if (result.outcome == ReserveOutcome::Reserved && keeper.lock() == vm.keeper) {
                 vm.open.push_back(result.reservation);
