--- a/src/claims/claimdecision.h
+++ b/src/claims/claimdecision.h
@@ -6,36 +6,36 @@
 #include <optional>
 #include <string>
 
-/// The state machine of a claim, as drawn in docs/design/at-most-once.md. All decisions that keep a call from running
-/// twice are here.
+/// The state machine of a claim, as drawn in docs/design/at-most-once.md. All decisions that prevent a call from running
+/// twice are made here.
 namespace cardamomlift::claims {
 
 enum class RowState { Claimed, Answered, Unknown };
 
-/// A claim as the table has it.
+/// A claim as stored in the table.
 struct ClaimRow {
     RowState state = RowState::Claimed;
     std::string holder; ///< Instance of the VM that wrote it.
-    std::string boot; ///< Of the holder's process: a restarted one knows nothing of its earlier claims.
+    std::string bootId; ///< Of the holder's process: a restarted process knows nothing of its earlier claims.
     std::string nonce;
     std::string bodyHash;
     StoredResponse response;
 };
 
-/// What the holder of a claim said of it.
+/// The state of a claim as reported by its holder.
 enum class HolderState {
-    NoAnswer, ///< Gone, cut off, paused, or restarted since.
-    NotHeld, ///< It never dispatches this attempt, and all it knew of it is in the table.
+    NoAnswer, ///< The holder has left the fleet, is unreachable or paused, or has restarted since.
+    NotHeld, ///< The holder will never dispatch this attempt, and all it knew of it is in the table.
     Running,
     Answered,
     Unknown,
-    NotRun, ///< It never dispatched this attempt in a way that could run, and never will.
+    NotRun, ///< No backend server can have run this attempt, and the holder will never dispatch it again.
 };
 
-/// What an attempt does next.
+/// The next action of an attempt.
 enum class Step {
-    WriteClaim, ///< Put the claim if the key is absent.
-    ReplaceClaim, ///< Put the claim in place of a released one.
+    WriteClaim, ///< Write the claim on condition that the key is absent.
+    ReplaceClaim, ///< Write the claim on condition that a released claim is still there.
     Read,
     AskHolder,
     End, ///< With Decision::outcome.
@@ -47,31 +47,31 @@
     BeginOutcome outcome = BeginOutcome::NotRun;
 };
 
-/// What an attempt knows so far.
+/// The state of an attempt that its decisions depend on.
 struct AttemptView {
     std::string nonce;
     std::string bodyHash;
-    bool inTime = true; ///< The claim may still be decided.
-    bool mayWait = true; ///< The caller may still wait for the answer of the running attempt.
-    bool keySeen = false; ///< The table showed that another attempt has the key.
-    std::string releasedNonce; ///< Its holder said that it will never run.
-    std::string silentNonce; ///< Its holder did not answer.
+    bool beforeDeadline = true; ///< The time for deciding the claim is not over.
+    bool mayWait = true; ///< The caller may still wait for the response of the running attempt.
+    bool otherClaimSeen = false; ///< The table showed that another attempt holds the key.
+    std::string releasedNonce; ///< Of a claim whose holder reported that it will never run.
+    std::string unresponsiveNonce; ///< Of a claim whose holder did not answer.
 };
 
-/// After the table answered, or did not answer, a write of the claim.
+/// The next step after a write of the claim, whether or not the table answered it.
 Decision afterClaimWrite(table::WriteOutcome outcome, const AttemptView &view);
-/// After a read of the key that the table answered; no row: the key is free.
+/// The next step after a successful read of the key. No row: the key is free.
 Decision afterRead(const std::optional<ClaimRow> &row, const AttemptView &view);
-/// After a read that the table did not answer.
+/// The next step after a read that the table did not answer.
 Decision afterFailedRead(const AttemptView &view);
-/// After the holder of the claim in the way was asked.
-Decision afterAsk(HolderState state, const AttemptView &view);
-/// When the time for deciding the claim is over.
-BeginOutcome outcomeWhenLate(const AttemptView &view);
+/// The next step after a query to the holder of another attempt's claim.
+Decision afterHolderAnswer(HolderState state, const AttemptView &view);
+/// The outcome when the time for deciding the claim is over.
+BeginOutcome outcomeAfterDeadline(const AttemptView &view);
 
-/// Whether a claimed call may still be sent: its lease, counted on both clocks, has not lapsed.
+/// Whether a claimed call may still be sent: its lease has expired neither on the monotonic nor on the wall clock.
 bool mayDispatch(const Claim &claim, TimePoint now, WallTime wallNow, Duration lease);
-/// What the end of one attempt at a backend server proves. @p saysNotRun: the server answered "X-Not-Run: true".
+/// The outcome that the end of one dispatch to a backend server proves. @p saysNotRun: the server answered "X-Not-Run: true".
 Outcome afterDispatch(http::Transport transport, bool saysNotRun);
 
 } // namespace cardamomlift::claims
--- a/src/claims/claimmanager.h
+++ b/src/claims/claimmanager.h
@@ -15,7 +15,7 @@
 
 using BeginHandler = std::function<void(BeginResult result)>;
 
-/// What a ClaimManager works with.
+/// The dependencies of a ClaimManager.
 struct ClaimTools {
     EventLoop *loop = nullptr;
     std::shared_ptr<table::Table> table;
@@ -24,43 +24,45 @@
     Holder holder;
 };
 
-/// Claims on idempotency keys in the platform's table, so that a call with a key runs at most once.
+/// Claims idempotency keys in the platform's table, so that a call with a key runs at most once.
 ///
-/// One conditional write right before the dispatch is the permission to dispatch; a second one keeps the answer.
-/// Only the attempt that wrote a claim ever dispatches it. An attempt that meets another's claim asks its holder.
+/// A conditional write right before the dispatch is the permission to dispatch; a second write stores the response.
+/// Only the attempt that wrote a claim ever dispatches it. An attempt that finds another attempt's claim queries its
+/// holder.
 class ClaimManager
 {
 public:
     static std::shared_ptr<ClaimManager> create(ClaimTools tools);
 
-    /// Tries to claim the key. @p handler is called once, within patience, or within timeout if the key is running.
+    /// Tries to claim the key. @p handler is called once: within claimTimeout, or within answerTimeout if another attempt
+    /// runs the call.
     void begin(ClaimRequest request, BeginHandler handler);
-    /// Whether a claimed call may still be sent. Ask right before its first byte.
+    /// Whether the lease of the claim still permits sending the call. To be checked right before the first byte is sent.
     bool mayDispatch(const Claim &claim) const;
-    /// Records how a claimed call ended. The end counts at once for whoever asks this VM; the table gets it as soon as it
-    /// takes it.
+    /// Records the outcome of a claimed call. Peers that query this VM get it at once; the write to the table is retried
+    /// until it succeeds.
     void finish(const Claim &claim, Outcome outcome, StoredResponse response);
-    /// Ended calls whose end the table has not taken yet.
-    std::size_t unsettled() const;
+    /// Number of finished calls whose outcome is not in the table yet.
+    std::size_t unsettledCount() const;
 
 private:
     struct Attempt;
     using AttemptPtr = std::shared_ptr<Attempt>;
     ClaimManager() = default;
     static AttemptView viewOf(const Attempt &attempt, TimePoint now);
-    void follow(const AttemptPtr &attempt, Decision decision, Duration pause);
-    void armPatience(const AttemptPtr &attempt);
-    void disarmPatience(const AttemptPtr &attempt);
+    void execute(const AttemptPtr &attempt, Decision decision, Duration delay);
+    void startClaimTimer(const AttemptPtr &attempt);
+    void cancelClaimTimer(const AttemptPtr &attempt);
     void writeClaim(const AttemptPtr &attempt);
     void onClaimWritten(const AttemptPtr &attempt, table::WriteOutcome outcome);
-    void read(const AttemptPtr &attempt);
-    void onRead(const AttemptPtr &attempt, const Result<std::optional<table::Item>> &item);
-    void ask(const AttemptPtr &attempt);
-    void onAsked(const AttemptPtr &attempt, const HolderAnswer &answer);
-    void end(const AttemptPtr &attempt, BeginOutcome outcome);
-    void answerPeer(const std::string &payload, const peers::Reply &reply);
+    void readRow(const AttemptPtr &attempt);
+    void onRowRead(const AttemptPtr &attempt, const Result<std::optional<table::Item>> &item);
+    void askHolder(const AttemptPtr &attempt);
+    void onHolderAnswer(const AttemptPtr &attempt, const HolderAnswer &answer);
+    void endAttempt(const AttemptPtr &attempt, BeginOutcome outcome);
+    void onPeerQuery(const std::string &payload, const peers::Reply &reply);
     ClaimTools tools_;
-    std::shared_ptr<WriteBatcher> grouper_;
+    std::shared_ptr<WriteBatcher> batcher_;
     std::shared_ptr<ClaimRegistry> registry_;
 };
 
--- a/src/claims/claimregistry.h
+++ b/src/claims/claimregistry.h
@@ -10,39 +10,39 @@
 
 namespace cardamomlift::claims {
 
-/// What the holder of a claim says of it.
+/// The answer of a holder to a query about its claim.
 struct HolderAnswer {
     HolderState state = HolderState::NoAnswer;
     StoredResponse response;
 };
 
-using HolderReply = std::function<void(HolderAnswer answer)>;
+using HolderAnswerHandler = std::function<void(HolderAnswer answer)>;
 
-/// The claims of this process that the table does not know the end of: open ones, and ended ones whose end is still
+/// The claims of this process whose outcome is not in the table yet: open ones, and finished ones whose outcome is still
 /// being written.
 ///
-/// NOTE An attempt that is not here was never dispatched, or its end is in the table. Others rely on that (NotHeld), so
-/// an ended claim stays here until the table has it; when there is no room, new claims are refused.
+/// NOTE An attempt without an entry here was never dispatched, or its outcome is in the table. Peers rely on that (NotHeld),
+/// so a finished claim stays here until its outcome is written; when the registry is full, new claims are refused.
 class ClaimRegistry
 {
 public:
-    static std::shared_ptr<ClaimRegistry> create(EventLoop &loop, std::shared_ptr<WriteBatcher> grouper, Holder holder);
+    static std::shared_ptr<ClaimRegistry> create(EventLoop &loop, std::shared_ptr<WriteBatcher> batcher, Holder holder);
 
     void open(const std::string &nonce);
-    /// Forgets an open claim that was never dispatched and of which nothing can stand in the table.
+    /// Removes an open claim that was never dispatched and cannot be in the table.
     void close(const std::string &nonce);
-    /// Keeps the end of an open claim, tells those who wait for it, and writes it to the table until the table has it.
-    /// With NotRun the claim is taken back.
+    /// Records the outcome of an open claim, answers the queries that wait for it, and writes it to the table, retrying
+    /// until that succeeds. With NotRun the claim is deleted from the table.
     void settle(const Claim &claim, Outcome outcome, StoredResponse response);
-    /// Says what became of a claim; waits up to @p wait for its end.
-    void ask(const std::string &nonce, Duration wait, HolderReply reply);
-    /// Ended claims whose end the table has not taken.
-    std::size_t unsettled() const;
+    /// Reports the state of a claim; waits up to @p wait for the outcome of a running one.
+    void query(const std::string &nonce, Duration wait, HolderAnswerHandler handler);
+    /// Number of finished claims whose outcome is not in the table yet.
+    std::size_t unsettledCount() const;
     bool isFull() const;
 
 private:
     struct Waiter {
-        HolderReply reply;
+        HolderAnswerHandler handler;
         TimerId timer = 0;
     };
     struct Entry {
@@ -54,14 +54,14 @@
         Duration backoff{0};
     };
     ClaimRegistry() = default;
-    void tellWaiters(Entry &entry, const HolderAnswer &answer);
+    void notifyWaiters(Entry &entry, const HolderAnswer &answer);
     void write(const std::string &nonce);
     void onWritten(const std::string &nonce, table::WriteOutcome outcome);
     EventLoop *loop_ = nullptr;
-    std::shared_ptr<WriteBatcher> grouper_;
+    std::shared_ptr<WriteBatcher> batcher_;
     Holder holder_;
     std::unordered_map<std::string, Entry> entries_; ///< By nonce.
-    std::size_t unsettled_ = 0;
+    std::size_t unsettledCount_ = 0;
     std::size_t bodyBytes_ = 0;
 };
 
--- a/src/claims/claimsmodule.cpp
+++ b/src/claims/claimsmodule.cpp
@@ -10,8 +10,8 @@
 
 namespace {
 
-constexpr std::size_t BootBytes = 8;
-constexpr Duration LongestWait = std::chrono::seconds(60);
+constexpr std::size_t BootIdBytes = 8;
+constexpr Duration MaxDrainWait = std::chrono::seconds(60);
 
 class ClaimsModule : public Module
 {
@@ -33,26 +33,26 @@
         tools.table = context.get<table::Table>();
         tools.peers = context.get<peers::PeerTransport>();
         tools.members = context.get<membership::Members>();
-        tools.holder = {context.get<settings::Settings>()->instance, text::randomHex(BootBytes)};
-        const auto keeper = ClaimManager::create(std::move(tools));
-        waitForTableWhenDraining(context, keeper);
-        context.get<metrics::Metrics>()->gauge("claims_unsettled", [keeper] { return static_cast<double>(keeper->unsettled()); });
-        context.set(keeper);
+        tools.holder = {context.get<settings::Settings>()->instance, text::randomHex(BootIdBytes)};
+        const auto manager = ClaimManager::create(std::move(tools));
+        waitForTableWhenDraining(context, manager);
+        context.get<metrics::Metrics>()->gauge("claims_unsettled", [manager] { return static_cast<double>(manager->unsettledCount()); });
+        context.set(manager);
         return success();
     }
 
 private:
-    /// A VM that drains stays until the table has the ends of its calls, for a bounded time.
-    static void waitForTableWhenDraining(Context &context, const std::shared_ptr<ClaimManager> &keeper);
+    /// Keeps a draining VM running until the outcomes of its calls are in the table, for MaxDrainWait at most.
+    static void waitForTableWhenDraining(Context &context, const std::shared_ptr<ClaimManager> &manager);
 };
 
-void ClaimsModule::waitForTableWhenDraining(Context &context, const std::shared_ptr<ClaimManager> &keeper)
+void ClaimsModule::waitForTableWhenDraining(Context &context, const std::shared_ptr<ClaimManager> &manager)
 {
     const auto lifecycle = context.get<lifecycle::Lifecycle>();
     const EventLoop *loop = context.get<Runtime>()->loop;
-    auto waitBy = std::make_shared<TimePoint>(TimePoint::max());
-    lifecycle->onDrain([loop, waitBy] { *waitBy = loop->now() + LongestWait; });
-    lifecycle->addProbe("claims", [keeper, loop, waitBy] { return loop->now() < *waitBy ? keeper->unsettled() : 0; });
+    auto deadline = std::make_shared<TimePoint>(TimePoint::max());
+    lifecycle->onDrain([loop, deadline] { *deadline = loop->now() + MaxDrainWait; });
+    lifecycle->addProbe("claims", [manager, loop, deadline] { return loop->now() < *deadline ? manager->unsettledCount() : 0; });
 }
 
 const ModuleRegistration<ClaimsModule> Registration;
--- a/src/claims/internal/claimdecision.cpp
+++ b/src/claims/internal/claimdecision.cpp
@@ -9,22 +9,22 @@
     return {Step::End, outcome};
 }
 
-Decision next(Step step, const AttemptView &view)
+Decision continueWith(Step step, const AttemptView &view)
 {
-    if (!view.inTime) {
-        return end(outcomeWhenLate(view));
+    if (!view.beforeDeadline) {
+        return end(outcomeAfterDeadline(view));
     }
     return {step, BeginOutcome::NotRun};
 }
 
-/// A claim of another attempt, which the table shows as not ended.
+/// The next step when the table shows an unfinished claim of another attempt.
 Decision afterForeignClaim(const ClaimRow &row, const AttemptView &view)
 {
     if (row.nonce == view.releasedNonce) {
-        return next(Step::ReplaceClaim, view);
+        return continueWith(Step::ReplaceClaim, view);
     }
-    // NOTE A silent holder may have been paused between the claim and the dispatch, and may wake and send at any time.
-    if (row.nonce == view.silentNonce) {
+    // NOTE A holder that does not answer may be paused between claim and dispatch, and may resume and send at any time.
+    if (row.nonce == view.unresponsiveNonce) {
         return end(BeginOutcome::OutcomeUnknown);
     }
     return {Step::AskHolder, BeginOutcome::StillRunning};
@@ -36,15 +36,15 @@
 {
     switch (outcome) {
     case table::WriteOutcome::Written:
-        return view.inTime ? end(BeginOutcome::Run) : end(outcomeWhenLate(view));
+        return view.beforeDeadline ? end(BeginOutcome::Run) : end(outcomeAfterDeadline(view));
     case table::WriteOutcome::ConditionFailed:
-        return next(Step::Read, view);
+        return continueWith(Step::Read, view);
     case table::WriteOutcome::NotWritten:
-        return next(Step::WriteClaim, view);
+        return continueWith(Step::WriteClaim, view);
     case table::WriteOutcome::Unknown:
-        // NOTE A read that finds no row proves nothing: the write may take effect later. The claim is written again then,
-        // and only an answered write or our own nonce in the table permits the dispatch.
-        return next(Step::Read, view);
+        // NOTE A read that finds no row does not prove that the write failed: it may take effect later. The claim is then
+        // written again, and only a confirmed write or our own nonce in the table permits the dispatch.
+        return continueWith(Step::Read, view);
     }
     return end(BeginOutcome::OutcomeUnknown);
 }
@@ -52,10 +52,10 @@
 Decision afterRead(const std::optional<ClaimRow> &row, const AttemptView &view)
 {
     if (!row) {
-        return next(Step::WriteClaim, view);
+        return continueWith(Step::WriteClaim, view);
     }
     if (row->nonce == view.nonce) {
-        return view.inTime ? end(BeginOutcome::Run) : end(outcomeWhenLate(view));
+        return view.beforeDeadline ? end(BeginOutcome::Run) : end(outcomeAfterDeadline(view));
     }
     if (row->bodyHash != view.bodyHash) {
         return end(BeginOutcome::KeyReused);
@@ -73,10 +73,10 @@
 
 Decision afterFailedRead(const AttemptView &view)
 {
-    return next(Step::Read, view);
+    return continueWith(Step::Read, view);
 }
 
-Decision afterAsk(HolderState state, const AttemptView &view)
+Decision afterHolderAnswer(HolderState state, const AttemptView &view)
 {
     switch (state) {
     case HolderState::Answered:
@@ -88,20 +88,20 @@
     case HolderState::NoAnswer:
     case HolderState::NotHeld:
     case HolderState::NotRun:
-        // The read comes after the holder's word: a claim that it shows then was not settled in between.
+        // The read comes after the holder's answer: a claim that it still shows was not settled in between.
         return {Step::Read, BeginOutcome::OutcomeUnknown};
     }
     return end(BeginOutcome::OutcomeUnknown);
 }
 
-BeginOutcome outcomeWhenLate(const AttemptView &view)
+BeginOutcome outcomeAfterDeadline(const AttemptView &view)
 {
-    return view.keySeen ? BeginOutcome::OutcomeUnknown : BeginOutcome::NotRun;
+    return view.otherClaimSeen ? BeginOutcome::OutcomeUnknown : BeginOutcome::NotRun;
 }
 
 bool mayDispatch(const Claim &claim, TimePoint now, WallTime wallNow, Duration lease)
 {
-    return now - claim.begunAt < lease && wallNow - claim.begunAtWall < lease;
+    return now - claim.leaseStart < lease && wallNow - claim.leaseStartWall < lease;
 }
 
 Outcome afterDispatch(http::Transport transport, bool saysNotRun)
--- a/src/claims/internal/claimmanager.cpp
+++ b/src/claims/internal/claimmanager.cpp
@@ -11,13 +11,13 @@
 
 constexpr std::size_t NonceBytes = 12;
 constexpr Duration Lease = std::chrono::seconds(3); ///< A claim older than this is not dispatched.
-constexpr Duration LongestPatience = std::chrono::seconds(2); ///< Leaves time of the lease to connect.
+constexpr Duration MaxClaimTimeout = std::chrono::seconds(2); ///< Leaves part of the lease for connecting.
 constexpr Duration Retention = std::chrono::hours(72);
-constexpr Duration FirstBackoff = std::chrono::milliseconds(50);
-constexpr Duration LongestBackoff = std::chrono::milliseconds(400);
-constexpr Duration AskWait = std::chrono::seconds(1); ///< How long the holder may keep the question open.
-constexpr Duration AskTimeout = std::chrono::seconds(2); ///< A holder silent for so long gives no answer.
-constexpr char AskTopic[] = "claims.ask";
+constexpr Duration InitialBackoff = std::chrono::milliseconds(50);
+constexpr Duration MaxBackoff = std::chrono::milliseconds(400);
+constexpr Duration MaxAnswerWait = std::chrono::seconds(1); ///< How long a holder may delay its answer to wait for the outcome.
+constexpr Duration QueryTimeout = std::chrono::seconds(2); ///< A holder that takes longer counts as not answering.
+constexpr char QueryTopic[] = "claims.ask";
 
 } // namespace
 
@@ -25,31 +25,31 @@
 struct ClaimManager::Attempt {
     Claim claim;
     BeginHandler handler;
-    TimePoint claimBy;
-    TimePoint waitBy;
-    TimerId patience = 0; ///< 0: not armed.
-    Duration backoff = FirstBackoff;
-    std::string replaces; ///< Nonce of the released claim to put ours in place of; empty: the key must be free.
+    TimePoint claimDeadline;
+    TimePoint answerDeadline;
+    TimerId claimTimer = 0; ///< 0: not running.
+    Duration backoff = InitialBackoff;
+    std::string replacedNonce; ///< Nonce of the released claim that ours replaces; empty: the key must be free.
     std::string releasedNonce;
-    std::string silentNonce;
-    ClaimRow inTheWay; ///< The claim of another attempt.
+    std::string unresponsiveNonce;
+    ClaimRow otherClaim; ///< The claim of another attempt.
     StoredResponse response;
-    bool keySeen = false;
-    bool unsure = false; ///< A write of the claim got no answer; it may take effect even later.
-    bool mayStand = false; ///< The claim may be in the table, or may come to be.
+    bool otherClaimSeen = false;
+    bool writeInDoubt = false; ///< A write of the claim got no answer; it may still take effect.
+    bool mayBeStored = false; ///< The claim may be in the table, or may still get there.
     bool ended = false;
 };
 
 std::shared_ptr<ClaimManager> ClaimManager::create(ClaimTools tools)
 {
-    std::shared_ptr<ClaimManager> keeper(new ClaimManager);
-    keeper->tools_ = std::move(tools);
-    const ClaimTools &own = keeper->tools_;
-    keeper->grouper_ = WriteBatcher::create(*own.loop, own.table);
-    keeper->registry_ = ClaimRegistry::create(*own.loop, keeper->grouper_, own.holder);
+    std::shared_ptr<ClaimManager> manager(new ClaimManager);
+    manager->tools_ = std::move(tools);
+    const ClaimTools &own = manager->tools_;
+    manager->batcher_ = WriteBatcher::create(*own.loop, own.table);
+    manager->registry_ = ClaimRegistry::create(*own.loop, manager->batcher_, own.holder);
     own.peers->handle(
-        AskTopic, [raw = keeper.get()](const std::string &, const std::string &payload, const peers::Reply &reply) { raw->answerPeer(payload, reply); });
-    return keeper;
+        QueryTopic, [raw = manager.get()](const std::string &, const std::string &payload, const peers::Reply &reply) { raw->onPeerQuery(payload, reply); });
+    return manager;
 }
 
 void ClaimManager::begin(ClaimRequest request, BeginHandler handler)
@@ -59,14 +59,14 @@
     attempt->handler = std::move(handler);
     attempt->claim.nonce = text::randomHex(NonceBytes);
     attempt->claim.expiresAt = std::chrono::duration_cast<std::chrono::seconds>((clock.wallNow() + Retention).time_since_epoch()).count();
-    attempt->waitBy = clock.now() + request.answerTimeout;
+    attempt->answerDeadline = clock.now() + request.answerTimeout;
     attempt->claim.request = std::move(request);
     if (registry_->isFull()) {
-        tools_.loop->post([this, attempt] { end(attempt, BeginOutcome::NotRun); });
+        tools_.loop->post([this, attempt] { endAttempt(attempt, BeginOutcome::NotRun); });
         return;
     }
     registry_->open(attempt->claim.nonce);
-    follow(attempt, {Step::WriteClaim, BeginOutcome::NotRun}, Duration(0));
+    execute(attempt, {Step::WriteClaim, BeginOutcome::NotRun}, Duration(0));
 }
 
 AttemptView ClaimManager::viewOf(const Attempt &attempt, TimePoint now)
@@ -74,63 +74,63 @@
     AttemptView view;
     view.nonce = attempt.claim.nonce;
     view.bodyHash = attempt.claim.request.bodyHash;
-    view.inTime = attempt.patience == 0 || now < attempt.claimBy;
-    view.mayWait = now < attempt.waitBy;
-    view.keySeen = attempt.keySeen;
+    view.beforeDeadline = attempt.claimTimer == 0 || now < attempt.claimDeadline;
+    view.mayWait = now < attempt.answerDeadline;
+    view.otherClaimSeen = attempt.otherClaimSeen;
     view.releasedNonce = attempt.releasedNonce;
-    view.silentNonce = attempt.silentNonce;
+    view.unresponsiveNonce = attempt.unresponsiveNonce;
     return view;
 }
 
-void ClaimManager::follow(const AttemptPtr &attempt, Decision decision, Duration pause)
+void ClaimManager::execute(const AttemptPtr &attempt, Decision decision, Duration delay)
 {
     if (decision.step == Step::End) {
-        end(attempt, decision.outcome);
+        endAttempt(attempt, decision.outcome);
         return;
     }
     if (decision.step == Step::AskHolder) {
-        disarmPatience(attempt);
-        ask(attempt);
+        cancelClaimTimer(attempt);
+        askHolder(attempt);
         return;
     }
-    armPatience(attempt);
-    if (pause.count() > 0) {
-        tools_.loop->after(pause, [this, attempt, step = decision.step] {
+    startClaimTimer(attempt);
+    if (delay.count() > 0) {
+        tools_.loop->after(delay, [this, attempt, step = decision.step] {
             if (!attempt->ended) {
-                follow(attempt, {step, BeginOutcome::NotRun}, Duration(0));
+                execute(attempt, {step, BeginOutcome::NotRun}, Duration(0));
             }
         });
         return;
     }
     if (decision.step == Step::Read) {
-        read(attempt);
+        readRow(attempt);
         return;
     }
     if (decision.step == Step::ReplaceClaim) {
-        attempt->replaces = attempt->releasedNonce;
-        attempt->keySeen = false;
+        attempt->replacedNonce = attempt->releasedNonce;
+        attempt->otherClaimSeen = false;
     }
     writeClaim(attempt);
 }
 
-void ClaimManager::armPatience(const AttemptPtr &attempt)
+void ClaimManager::startClaimTimer(const AttemptPtr &attempt)
 {
-    if (attempt->patience != 0) {
+    if (attempt->claimTimer != 0) {
         return;
     }
-    // The lease counts from here: a repeat may have waited long for another attempt before it claims the key itself.
+    // The lease starts here: a repeated request may have waited long for another attempt before it claims the key itself.
     const Clock &clock = tools_.loop->clock();
-    attempt->claim.begunAt = clock.now();
-    attempt->claim.begunAtWall = clock.wallNow();
-    const Duration patience = std::min(attempt->claim.request.claimTimeout, LongestPatience);
-    attempt->claimBy = clock.now() + patience;
-    attempt->patience = tools_.loop->after(patience, [this, attempt] { end(attempt, outcomeWhenLate(viewOf(*attempt, tools_.loop->now()))); });
+    attempt->claim.leaseStart = clock.now();
+    attempt->claim.leaseStartWall = clock.wallNow();
+    const Duration timeout = std::min(attempt->claim.request.claimTimeout, MaxClaimTimeout);
+    attempt->claimDeadline = clock.now() + timeout;
+    attempt->claimTimer = tools_.loop->after(timeout, [this, attempt] { endAttempt(attempt, outcomeAfterDeadline(viewOf(*attempt, tools_.loop->now()))); });
 }
 
-void ClaimManager::disarmPatience(const AttemptPtr &attempt)
+void ClaimManager::cancelClaimTimer(const AttemptPtr &attempt)
 {
-    tools_.loop->cancel(attempt->patience);
-    attempt->patience = 0;
+    tools_.loop->cancel(attempt->claimTimer);
+    attempt->claimTimer = 0;
 }
 
 void ClaimManager::writeClaim(const AttemptPtr &attempt)
@@ -138,14 +138,14 @@
     table::Write write;
     write.item = claimedItem(attempt->claim, tools_.holder);
     write.condition.kind = table::ConditionKind::ItemAbsent;
-    if (!attempt->replaces.empty()) {
-        write.condition = {table::ConditionKind::AttributeEquals, "nonce", attempt->replaces};
+    if (!attempt->replacedNonce.empty()) {
+        write.condition = {table::ConditionKind::AttributeEquals, "nonce", attempt->replacedNonce};
     }
     const auto isWanted = [attempt] {
-        attempt->mayStand = attempt->mayStand || !attempt->ended;
+        attempt->mayBeStored = attempt->mayBeStored || !attempt->ended;
         return !attempt->ended;
     };
-    grouper_->submit(std::move(write), isWanted, [this, attempt](const table::WriteResult &result) { onClaimWritten(attempt, result.outcome); });
+    batcher_->submit(std::move(write), isWanted, [this, attempt](const table::WriteResult &result) { onClaimWritten(attempt, result.outcome); });
 }
 
 void ClaimManager::onClaimWritten(const AttemptPtr &attempt, table::WriteOutcome outcome)
@@ -154,57 +154,57 @@
         return;
     }
     if (outcome == table::WriteOutcome::Unknown) {
-        attempt->unsure = true;
+        attempt->writeInDoubt = true;
     }
     if (outcome == table::WriteOutcome::ConditionFailed) {
-        attempt->keySeen = attempt->keySeen || !attempt->unsure;
-        attempt->replaces.clear();
+        attempt->otherClaimSeen = attempt->otherClaimSeen || !attempt->writeInDoubt;
+        attempt->replacedNonce.clear();
     }
-    attempt->mayStand = attempt->unsure || outcome == table::WriteOutcome::Written;
+    attempt->mayBeStored = attempt->writeInDoubt || outcome == table::WriteOutcome::Written;
     const bool isRetry = outcome == table::WriteOutcome::Unknown || outcome == table::WriteOutcome::NotWritten;
-    const Duration pause = isRetry ? attempt->backoff : Duration(0);
+    const Duration delay = isRetry ? attempt->backoff : Duration(0);
     if (isRetry) {
-        attempt->backoff = std::min(LongestBackoff, attempt->backoff * 2);
+        attempt->backoff = std::min(MaxBackoff, attempt->backoff * 2);
     }
-    follow(attempt, afterClaimWrite(outcome, viewOf(*attempt, tools_.loop->now())), pause);
+    execute(attempt, afterClaimWrite(outcome, viewOf(*attempt, tools_.loop->now())), delay);
 }
 
-void ClaimManager::read(const AttemptPtr &attempt)
+void ClaimManager::readRow(const AttemptPtr &attempt)
 {
     tools_.table->get(rowKey(attempt->claim.request), [this, attempt](const Result<std::optional<table::Item>> &item) {
         if (!attempt->ended) {
-            onRead(attempt, item);
+            onRowRead(attempt, item);
         }
     });
 }
 
-void ClaimManager::onRead(const AttemptPtr &attempt, const Result<std::optional<table::Item>> &item)
+void ClaimManager::onRowRead(const AttemptPtr &attempt, const Result<std::optional<table::Item>> &item)
 {
     if (!item) {
-        const Duration pause = attempt->backoff;
-        attempt->backoff = std::min(LongestBackoff, attempt->backoff * 2);
-        follow(attempt, afterFailedRead(viewOf(*attempt, tools_.loop->now())), pause);
+        const Duration delay = attempt->backoff;
+        attempt->backoff = std::min(MaxBackoff, attempt->backoff * 2);
+        execute(attempt, afterFailedRead(viewOf(*attempt, tools_.loop->now())), delay);
         return;
     }
     std::optional<ClaimRow> row;
     if (item.value()) {
-        row = rowOf(*item.value());
-        attempt->inTheWay = *row;
+        row = parseRow(*item.value());
+        attempt->otherClaim = *row;
         attempt->response = row->response;
     }
-    attempt->keySeen = row && row->nonce != attempt->claim.nonce;
-    follow(attempt, afterRead(row, viewOf(*attempt, tools_.loop->now())), Duration(0));
+    attempt->otherClaimSeen = row && row->nonce != attempt->claim.nonce;
+    execute(attempt, afterRead(row, viewOf(*attempt, tools_.loop->now())), Duration(0));
 }
 
-void ClaimManager::ask(const AttemptPtr &attempt)
+void ClaimManager::askHolder(const AttemptPtr &attempt)
 {
-    const ClaimRow &row = attempt->inTheWay;
-    const Duration wait = std::clamp(attempt->waitBy - tools_.loop->now(), Duration(0), AskWait);
+    const ClaimRow &row = attempt->otherClaim;
+    const Duration wait = std::clamp(attempt->answerDeadline - tools_.loop->now(), Duration(0), MaxAnswerWait);
     const auto onAnswer = [this, attempt](const HolderAnswer &answer) {
-        onAsked(attempt, answer);
+        onHolderAnswer(attempt, answer);
     };
-    if (row.holder == tools_.holder.instance && row.boot == tools_.holder.boot) {
-        registry_->ask(row.nonce, wait, onAnswer);
+    if (row.holder == tools_.holder.instance && row.bootId == tools_.holder.bootId) {
+        registry_->query(row.nonce, wait, onAnswer);
         return;
     }
     const membership::Vm *vm = tools_.members->find(row.holder);
@@ -213,33 +213,33 @@
         return;
     }
     tools_.peers->send(
-        membership::peerAddress(*vm), AskTopic, askPayload({row.boot, row.nonce, wait}), AskTimeout, [onAnswer](const Result<std::string> &payload) {
-            onAnswer(payload ? holderAnswerOf(payload.value()) : HolderAnswer{});
+        membership::peerAddress(*vm), QueryTopic, encodeQuery({row.bootId, row.nonce, wait}), QueryTimeout, [onAnswer](const Result<std::string> &payload) {
+            onAnswer(payload ? decodeAnswer(payload.value()) : HolderAnswer{});
         });
 }
 
-void ClaimManager::onAsked(const AttemptPtr &attempt, const HolderAnswer &answer)
+void ClaimManager::onHolderAnswer(const AttemptPtr &attempt, const HolderAnswer &answer)
 {
-    const std::string &nonce = attempt->inTheWay.nonce;
+    const std::string &nonce = attempt->otherClaim.nonce;
     if (answer.state == HolderState::NoAnswer) {
-        attempt->silentNonce = nonce;
+        attempt->unresponsiveNonce = nonce;
     }
     if (answer.state == HolderState::NotHeld || answer.state == HolderState::NotRun) {
         attempt->releasedNonce = nonce;
     }
     attempt->response = answer.response;
-    follow(attempt, afterAsk(answer.state, viewOf(*attempt, tools_.loop->now())), Duration(0));
+    execute(attempt, afterHolderAnswer(answer.state, viewOf(*attempt, tools_.loop->now())), Duration(0));
 }
 
-void ClaimManager::end(const AttemptPtr &attempt, BeginOutcome outcome)
+void ClaimManager::endAttempt(const AttemptPtr &attempt, BeginOutcome outcome)
 {
     if (attempt->ended) {
         return;
     }
     attempt->ended = true;
-    tools_.loop->cancel(attempt->patience);
-    // An attempt that does not run takes back what it may have written; it never dispatches from here on.
-    if (outcome != BeginOutcome::Run && attempt->mayStand) {
+    tools_.loop->cancel(attempt->claimTimer);
+    // An attempt that does not run deletes the claim that it may have written; it never dispatches from here on.
+    if (outcome != BeginOutcome::Run && attempt->mayBeStored) {
         registry_->settle(attempt->claim, Outcome::NotRun, {});
     } else if (outcome != BeginOutcome::Run) {
         registry_->close(attempt->claim.nonce);
@@ -248,7 +248,7 @@
     result.outcome = outcome;
     result.claim = attempt->claim;
     result.response = attempt->response;
-    result.keyLookedUp = attempt->keySeen || outcome == BeginOutcome::Run;
+    result.keyLookedUp = attempt->otherClaimSeen || outcome == BeginOutcome::Run;
     attempt->handler(std::move(result));
 }
 
@@ -263,19 +263,19 @@
     registry_->settle(claim, outcome, std::move(response));
 }
 
-std::size_t ClaimManager::unsettled() const
+std::size_t ClaimManager::unsettledCount() const
 {
-    return registry_->unsettled();
+    return registry_->unsettledCount();
 }
 
-void ClaimManager::answerPeer(const std::string &payload, const peers::Reply &reply)
+void ClaimManager::onPeerQuery(const std::string &payload, const peers::Reply &reply)
 {
-    const auto question = askOf(payload);
-    if (!question || question->boot != tools_.holder.boot) {
-        reply(failure(ErrorKind::NotFound, "another process made this claim"));
+    const auto query = decodeQuery(payload);
+    if (!query || query->bootId != tools_.holder.bootId) {
+        reply(failure(ErrorKind::NotFound, "claim query is unreadable or names another process of this VM"));
         return;
     }
-    registry_->ask(question->nonce, std::min(question->wait, AskWait), [reply](const HolderAnswer &answer) { reply(holderAnswerPayload(answer)); });
+    registry_->query(query->nonce, std::min(query->wait, MaxAnswerWait), [reply](const HolderAnswer &answer) { reply(encodeAnswer(answer)); });
 }
 
 } // namespace cardamomlift::claims
--- a/src/claims/internal/claimregistry.cpp
+++ b/src/claims/internal/claimregistry.cpp
@@ -4,11 +4,11 @@
 
 namespace {
 
-constexpr std::size_t MostEntries = 20000;
-constexpr std::size_t LargestBody = 256 * 1024; ///< A larger answer is kept without its body.
-constexpr std::size_t MostBodyBytes = 32 * 1024 * 1024; ///< Of all answers that wait for the table.
-constexpr Duration FirstBackoff = std::chrono::milliseconds(100);
-constexpr Duration LongestBackoff = std::chrono::seconds(5);
+constexpr std::size_t MaxEntries = 20000;
+constexpr std::size_t MaxBodyBytes = 256 * 1024; ///< A larger response is stored without its body.
+constexpr std::size_t MaxTotalBodyBytes = 32 * 1024 * 1024; ///< Of all responses that wait to be written to the table.
+constexpr Duration InitialBackoff = std::chrono::milliseconds(100);
+constexpr Duration MaxBackoff = std::chrono::seconds(5);
 
 HolderState stateOf(Outcome outcome)
 {
@@ -25,11 +25,11 @@
 
 } // namespace
 
-std::shared_ptr<ClaimRegistry> ClaimRegistry::create(EventLoop &loop, std::shared_ptr<WriteBatcher> grouper, Holder holder)
+std::shared_ptr<ClaimRegistry> ClaimRegistry::create(EventLoop &loop, std::shared_ptr<WriteBatcher> batcher, Holder holder)
 {
     std::shared_ptr<ClaimRegistry> registry(new ClaimRegistry);
     registry->loop_ = &loop;
-    registry->grouper_ = std::move(grouper);
+    registry->batcher_ = std::move(batcher);
     registry->holder_ = std::move(holder);
     return registry;
 }
@@ -45,7 +45,7 @@
     if (found == entries_.end()) {
         return;
     }
-    tellWaiters(found->second, {HolderState::NotHeld, {}});
+    notifyWaiters(found->second, {HolderState::NotHeld, {}});
     entries_.erase(found);
 }
 
@@ -55,51 +55,51 @@
     if (entry.ended) {
         return;
     }
-    if (response.body.size() > LargestBody || bodyBytes_ + response.body.size() > MostBodyBytes) {
+    if (response.body.size() > MaxBodyBytes || bodyBytes_ + response.body.size() > MaxTotalBodyBytes) {
         response.body.clear();
         response.hasBody = false;
     }
     bodyBytes_ += response.body.size();
-    unsettled_++;
+    unsettledCount_++;
     entry.claim = claim;
     entry.ended = true;
     entry.outcome = outcome;
     entry.response = std::move(response);
-    entry.backoff = FirstBackoff;
-    tellWaiters(entry, {stateOf(outcome), entry.response});
+    entry.backoff = InitialBackoff;
+    notifyWaiters(entry, {stateOf(outcome), entry.response});
     write(claim.nonce);
 }
 
-void ClaimRegistry::tellWaiters(Entry &entry, const HolderAnswer &answer)
+void ClaimRegistry::notifyWaiters(Entry &entry, const HolderAnswer &answer)
 {
     const auto waiters = std::move(entry.waiters);
     entry.waiters.clear();
     for (const auto &waiter : waiters) {
         loop_->cancel(waiter->timer);
-        loop_->post([waiter, answer] { waiter->reply(answer); });
+        loop_->post([waiter, answer] { waiter->handler(answer); });
     }
 }
 
-void ClaimRegistry::ask(const std::string &nonce, Duration wait, HolderReply reply)
+void ClaimRegistry::query(const std::string &nonce, Duration wait, HolderAnswerHandler handler)
 {
     const auto found = entries_.find(nonce);
     if (found == entries_.end()) {
-        loop_->post([reply = std::move(reply)] { reply({HolderState::NotHeld, {}}); });
+        loop_->post([handler = std::move(handler)] { handler({HolderState::NotHeld, {}}); });
         return;
     }
     Entry &entry = found->second;
     if (entry.ended) {
-        loop_->post([reply = std::move(reply), answer = HolderAnswer{stateOf(entry.outcome), entry.response}] { reply(answer); });
+        loop_->post([handler = std::move(handler), answer = HolderAnswer{stateOf(entry.outcome), entry.response}] { handler(answer); });
         return;
     }
     auto waiter = std::make_shared<Waiter>();
-    waiter->reply = std::move(reply);
+    waiter->handler = std::move(handler);
     waiter->timer = loop_->after(wait, [this, nonce, waiter] {
         const auto entryNow = entries_.find(nonce);
         if (entryNow == entries_.end() || std::erase(entryNow->second.waiters, waiter) == 0) {
             return;
         }
-        waiter->reply({HolderState::Running, {}});
+        waiter->handler({HolderState::Running, {}});
     });
     entry.waiters.push_back(std::move(waiter));
 }
@@ -113,35 +113,35 @@
         write.kind = table::WriteKind::Delete;
         write.item.key = rowKey(entry.claim.request);
     } else {
-        write.item = endedItem(entry.claim, holder_, entry.outcome, entry.response);
+        write.item = finishedItem(entry.claim, holder_, entry.outcome, entry.response);
     }
-    grouper_->submit(
+    batcher_->submit(
         std::move(write), [] { return true; }, [this, nonce](const table::WriteResult &result) { onWritten(nonce, result.outcome); });
 }
 
 void ClaimRegistry::onWritten(const std::string &nonce, table::WriteOutcome outcome)
 {
     const auto found = entries_.find(nonce);
-    // A failed condition: another attempt took the released claim over, or our claim never took effect.
+    // A failed condition: another attempt replaced the released claim, or our claim was never written.
     if (outcome == table::WriteOutcome::Written || outcome == table::WriteOutcome::ConditionFailed) {
         bodyBytes_ -= found->second.response.body.size();
-        unsettled_--;
+        unsettledCount_--;
         entries_.erase(found);
         return;
     }
     const Duration backoff = found->second.backoff;
-    found->second.backoff = std::min(LongestBackoff, backoff * 2);
+    found->second.backoff = std::min(MaxBackoff, backoff * 2);
     loop_->after(backoff, [this, nonce] { write(nonce); });
 }
 
-std::size_t ClaimRegistry::unsettled() const
+std::size_t ClaimRegistry::unsettledCount() const
 {
-    return unsettled_;
+    return unsettledCount_;
 }
 
 bool ClaimRegistry::isFull() const
 {
-    return entries_.size() >= MostEntries;
+    return entries_.size() >= MaxEntries;
 }
 
 } // namespace cardamomlift::claims
--- a/src/claims/internal/claimrow.cpp
+++ b/src/claims/internal/claimrow.cpp
@@ -17,7 +17,7 @@
 constexpr char StateUnknown[] = "unknown";
 constexpr char BodyKept[] = "yes";
 
-/// Bodies are any bytes; attributes are text.
+/// Bodies are arbitrary bytes, but attributes are text.
 std::string toBase64(const std::string &bytes)
 {
     std::string text(4 * ((bytes.size() + 2) / 3) + 1, '\0');
@@ -27,7 +27,7 @@
     return text;
 }
 
-/// @p size: of the bytes, since the padded text gives up to two more.
+/// @p size: of the original bytes; decoding the padded text gives up to two more.
 std::string fromBase64(const std::string &text, std::size_t size)
 {
     std::string bytes(text.size() / 4 * 3 + 1, '\0');
@@ -37,7 +37,7 @@
     return bytes;
 }
 
-RowState stateOf(const std::string &text)
+RowState parseState(const std::string &text)
 {
     if (text == StateClaimed) {
         return RowState::Claimed;
@@ -45,13 +45,13 @@
     return text == StateAnswered ? RowState::Answered : RowState::Unknown;
 }
 
-table::Item itemOf(const Claim &claim, const Holder &holder, const char *state)
+table::Item makeItem(const Claim &claim, const Holder &holder, const char *state)
 {
     table::Item item;
     item.key = rowKey(claim.request);
     item.attributes["state"] = state;
     item.attributes["holder"] = holder.instance;
-    item.attributes["boot"] = holder.boot;
+    item.attributes["boot"] = holder.bootId;
     item.attributes["nonce"] = claim.nonce;
     item.attributes["bodyHash"] = claim.request.bodyHash;
     item.attributes[table::ExpiryAttribute] = std::to_string(claim.expiresAt);
@@ -67,15 +67,15 @@
 
 table::Item claimedItem(const Claim &claim, const Holder &holder)
 {
-    return itemOf(claim, holder, StateClaimed);
+    return makeItem(claim, holder, StateClaimed);
 }
 
-table::Item endedItem(const Claim &claim, const Holder &holder, Outcome outcome, const StoredResponse &response)
+table::Item finishedItem(const Claim &claim, const Holder &holder, Outcome outcome, const StoredResponse &response)
 {
     if (outcome != Outcome::Answered) {
-        return itemOf(claim, holder, StateUnknown);
+        return makeItem(claim, holder, StateUnknown);
     }
-    table::Item item = itemOf(claim, holder, StateAnswered);
+    table::Item item = makeItem(claim, holder, StateAnswered);
     item.attributes["status"] = std::to_string(response.status);
     item.attributes["contentType"] = toBase64(response.contentType);
     item.attributes["contentTypeSize"] = std::to_string(response.contentType.size());
@@ -87,15 +87,15 @@
     return item;
 }
 
-ClaimRow rowOf(const table::Item &item)
+ClaimRow parseRow(const table::Item &item)
 {
     const auto number = [&item](std::string_view name) {
         return std::strtoull(table::attribute(item, name).c_str(), nullptr, 10);
     };
     ClaimRow row;
-    row.state = stateOf(table::attribute(item, "state"));
+    row.state = parseState(table::attribute(item, "state"));
     row.holder = table::attribute(item, "holder");
-    row.boot = table::attribute(item, "boot");
+    row.bootId = table::attribute(item, "boot");
     row.nonce = table::attribute(item, "nonce");
     row.bodyHash = table::attribute(item, "bodyHash");
     row.response.status = static_cast<int>(number("status"));
--- a/src/claims/internal/claimwire.cpp
+++ b/src/claims/internal/claimwire.cpp
@@ -42,25 +42,25 @@
 
 } // namespace
 
-std::string askPayload(const HolderQuestion &question)
+std::string encodeQuery(const HolderQuery &query)
 {
     wire::Ask message;
-    message.set_boot(question.boot);
-    message.set_nonce(question.nonce);
-    message.set_wait_ms(std::chrono::duration_cast<std::chrono::milliseconds>(question.wait).count());
+    message.set_boot(query.bootId);
+    message.set_nonce(query.nonce);
+    message.set_wait_ms(std::chrono::duration_cast<std::chrono::milliseconds>(query.wait).count());
     return message.SerializeAsString();
 }
 
-std::optional<HolderQuestion> askOf(const std::string &payload)
+std::optional<HolderQuery> decodeQuery(const std::string &payload)
 {
     wire::Ask message;
     if (!message.ParseFromString(payload) || message.nonce().empty()) {
         return std::nullopt;
     }
-    return HolderQuestion{message.boot(), message.nonce(), std::chrono::milliseconds(message.wait_ms())};
+    return HolderQuery{message.boot(), message.nonce(), std::chrono::milliseconds(message.wait_ms())};
 }
 
-std::string holderAnswerPayload(const HolderAnswer &answer)
+std::string encodeAnswer(const HolderAnswer &answer)
 {
     wire::AskReply message;
     message.set_state(toWire(answer.state));
@@ -71,7 +71,7 @@
     return message.SerializeAsString();
 }
 
-HolderAnswer holderAnswerOf(const std::string &payload)
+HolderAnswer decodeAnswer(const std::string &payload)
 {
     wire::AskReply message;
     if (!message.ParseFromString(payload) || message.state() == wire::UNSPECIFIED) {
--- a/src/claims/internal/claimwire.h
+++ b/src/claims/internal/claimwire.h
@@ -7,18 +7,18 @@
 
 namespace cardamomlift::claims {
 
-/// The question "what became of this claim?" from one entry VM to another (claims.proto).
-struct HolderQuestion {
-    std::string boot;
+/// A query from one entry VM to another about the state of a claim (claims.proto).
+struct HolderQuery {
+    std::string bootId;
     std::string nonce;
     Duration wait{0};
 };
 
-std::string askPayload(const HolderQuestion &question);
-/// Empty if the payload is not such a message.
-std::optional<HolderQuestion> askOf(const std::string &payload);
-std::string holderAnswerPayload(const HolderAnswer &answer);
-/// A payload that can't be read is NoAnswer.
-HolderAnswer holderAnswerOf(const std::string &payload);
+std::string encodeQuery(const HolderQuery &query);
+/// Empty if the payload cannot be parsed.
+std::optional<HolderQuery> decodeQuery(const std::string &payload);
+std::string encodeAnswer(const HolderAnswer &answer);
+/// A payload that cannot be parsed gives NoAnswer.
+HolderAnswer decodeAnswer(const std::string &payload);
 
 } // namespace cardamomlift::claims
--- a/src/claims/internal/writebatcher.cpp
+++ b/src/claims/internal/writebatcher.cpp
@@ -9,8 +9,8 @@
 
 namespace {
 
-constexpr std::size_t MostWrites = 100; ///< The protocol's limit for one transaction.
-constexpr std::size_t MostBytes = 384 * 1024; ///< Of one transaction, unless a single write is larger.
+constexpr std::size_t MaxWrites = 100; ///< The table protocol's limit for one transaction.
+constexpr std::size_t MaxBytes = 384 * 1024; ///< Of one transaction, unless a single write is larger.
 constexpr std::size_t TokenBytes = 16;
 
 std::size_t sizeOf(const table::Write &write)
@@ -26,10 +26,10 @@
 
 std::shared_ptr<WriteBatcher> WriteBatcher::create(EventLoop &loop, std::shared_ptr<table::Table> table)
 {
-    std::shared_ptr<WriteBatcher> grouper(new WriteBatcher);
-    grouper->loop_ = &loop;
-    grouper->table_ = std::move(table);
-    return grouper;
+    std::shared_ptr<WriteBatcher> batcher(new WriteBatcher);
+    batcher->loop_ = &loop;
+    batcher->table_ = std::move(table);
+    return batcher;
 }
 
 void WriteBatcher::submit(table::Write write, std::function<bool()> isWanted, table::WriteHandler handler)
@@ -44,93 +44,93 @@
         return;
     }
     scheduled_ = true;
-    // Posted, so that all writes of one turn of the loop go together.
+    // Posted, so that all writes of one iteration of the event loop are sent together.
     loop_->post([this] {
         scheduled_ = false;
         sendNext();
     });
 }
 
-WriteBatcher::Group WriteBatcher::takeGroup()
+WriteBatcher::Batch WriteBatcher::takeBatch()
 {
-    Group group;
-    std::deque<Entry> left;
+    Batch batch;
+    std::deque<Entry> deferred;
     std::set<table::Key> keys;
     std::size_t bytes = 0;
     while (!queue_.empty()) {
         Entry entry = std::move(queue_.front());
         queue_.pop_front();
         if (!entry.isWanted()) {
-            entry.handler({table::WriteOutcome::NotWritten, {}, "no longer wanted"});
+            entry.handler({table::WriteOutcome::NotWritten, {}, "write no longer needed"});
             continue;
         }
         const std::size_t size = sizeOf(entry.write);
-        const bool isFull = group.size() >= MostWrites || (!group.empty() && bytes + size > MostBytes);
-        // NOTE A transaction may not name a key twice, and a later write of a key must not overtake an earlier one.
+        const bool isFull = batch.size() >= MaxWrites || (!batch.empty() && bytes + size > MaxBytes);
+        // NOTE A transaction may not contain a key twice, and a later write of a key must not overtake an earlier one.
         const bool isNewKey = keys.insert(entry.write.item.key).second;
         if (isFull || !isNewKey) {
-            left.push_back(std::move(entry));
+            deferred.push_back(std::move(entry));
             continue;
         }
         bytes += size;
-        group.push_back(std::move(entry));
+        batch.push_back(std::move(entry));
     }
-    while (!left.empty()) {
-        queue_.push_front(std::move(left.back()));
-        left.pop_back();
+    while (!deferred.empty()) {
+        queue_.push_front(std::move(deferred.back()));
+        deferred.pop_back();
     }
-    return group;
+    return batch;
 }
 
 void WriteBatcher::sendNext()
 {
-    auto group = std::make_shared<Group>(takeGroup());
-    if (group->empty()) {
+    auto batch = std::make_shared<Batch>(takeBatch());
+    if (batch->empty()) {
         return;
     }
     inFlight_ = true;
-    const auto handler = [this, group](const table::WriteResult &result) {
+    const auto handler = [this, batch](const table::WriteResult &result) {
         inFlight_ = false;
-        settle(*group, result);
+        settle(*batch, result);
         schedule();
     };
-    if (group->size() == 1) {
-        table_->write(group->front().write, handler);
+    if (batch->size() == 1) {
+        table_->write(batch->front().write, handler);
         return;
     }
     std::vector<table::Write> writes;
-    for (const Entry &entry : *group) {
+    for (const Entry &entry : *batch) {
         writes.push_back(entry.write);
     }
     table_->transact(std::move(writes), text::randomHex(TokenBytes), handler);
 }
 
-void WriteBatcher::settle(Group &group, const table::WriteResult &result)
+void WriteBatcher::settle(Batch &batch, const table::WriteResult &result)
 {
-    const bool isCancelled = result.outcome == table::WriteOutcome::ConditionFailed && group.size() > 1;
+    const bool isCancelled = result.outcome == table::WriteOutcome::ConditionFailed && batch.size() > 1;
     if (!isCancelled) {
-        for (Entry &entry : group) {
+        for (Entry &entry : batch) {
             entry.handler(result);
         }
         return;
     }
-    const bool saysWhich = result.failed.size() == group.size() && std::find(result.failed.begin(), result.failed.end(), true) != result.failed.end();
-    if (!saysWhich) {
-        // Cancelled for another reason, as a conflict with a transaction in progress.
-        for (Entry &entry : group) {
+    const bool namesFailedWrites = result.failed.size() == batch.size() && std::find(result.failed.begin(), result.failed.end(), true) != result.failed.end();
+    if (!namesFailedWrites) {
+        // Cancelled for another reason, such as a conflict with a transaction in progress.
+        for (Entry &entry : batch) {
             entry.handler({table::WriteOutcome::NotWritten, {}, result.error});
         }
         return;
     }
-    Group again;
-    for (std::size_t i = 0; i < group.size(); i++) {
+    Batch resent;
+    for (std::size_t i = 0; i < batch.size(); i++) {
         if (result.failed[i]) {
-            group[i].handler({table::WriteOutcome::ConditionFailed, {true}, result.error});
+            batch[i].handler({table::WriteOutcome::ConditionFailed, {true}, result.error});
         } else {
-            again.push_back(std::move(group[i]));
+            resent.push_back(std::move(batch[i]));
         }
     }
-    queue_.insert(queue_.begin(), std::make_move_iterator(again.begin()), std::make_move_iterator(again.end()));
+    queue_.insert(queue_.begin(), std::make_move_iterator(resent.begin()), std::make_move_iterator(resent.end()));
 }
 
 } // namespace cardamomlift::claims
