--- a/src/claims/tests/claimdecision_test.cpp
+++ b/src/claims/tests/claimdecision_test.cpp
@@ -27,7 +27,7 @@
 
 } // namespace
 
-TEST(ClaimDecision, OnlyAnAnsweredWriteOrTheOwnNoncePermits)
+TEST(ClaimDecision, OnlyAConfirmedWriteOrTheOwnNoncePermitsDispatch)
 {
     const AttemptView view = ownView();
     EXPECT_EQ(afterClaimWrite(table::WriteOutcome::Written, view).outcome, BeginOutcome::Run);
@@ -40,13 +40,13 @@
     EXPECT_EQ(afterRead(own, view).outcome, BeginOutcome::Run);
 }
 
-TEST(ClaimDecision, AfterTheTimeNothingIsPermitted)
+TEST(ClaimDecision, NoDispatchAfterTheDeadline)
 {
     AttemptView view = ownView();
-    view.inTime = false;
+    view.beforeDeadline = false;
     EXPECT_EQ(afterClaimWrite(table::WriteOutcome::Written, view).outcome, BeginOutcome::NotRun);
     EXPECT_EQ(afterRead(std::nullopt, view).outcome, BeginOutcome::NotRun);
-    view.keySeen = true;
+    view.otherClaimSeen = true;
     EXPECT_EQ(afterFailedRead(view).outcome, BeginOutcome::OutcomeUnknown);
 }
 
@@ -54,9 +54,9 @@
 {
     AttemptView view = ownView();
     EXPECT_EQ(afterRead(foreignRow(RowState::Claimed), view).step, Step::AskHolder);
-    view.silentNonce = "other";
+    view.unresponsiveNonce = "other";
     EXPECT_EQ(afterRead(foreignRow(RowState::Claimed), view).outcome, BeginOutcome::OutcomeUnknown);
-    view.silentNonce.clear();
+    view.unresponsiveNonce.clear();
     view.releasedNonce = "other";
     EXPECT_EQ(afterRead(foreignRow(RowState::Claimed), view).step, Step::ReplaceClaim);
     EXPECT_EQ(afterRead(foreignRow(RowState::Answered), view).outcome, BeginOutcome::Replay);
@@ -69,14 +69,14 @@
 {
     Claim claim;
     const Duration lease = std::chrono::seconds(3);
-    const TimePoint now = claim.begunAt;
-    const WallTime wall = claim.begunAtWall;
+    const TimePoint now = claim.leaseStart;
+    const WallTime wall = claim.leaseStartWall;
     EXPECT_TRUE(mayDispatch(claim, now, wall, lease));
     EXPECT_FALSE(mayDispatch(claim, now + lease, wall, lease));
     EXPECT_FALSE(mayDispatch(claim, now, wall + lease, lease));
 }
 
-TEST(ClaimDecision, EvidenceOfADispatch)
+TEST(ClaimDecision, OutcomeOfEachEndOfADispatch)
 {
     EXPECT_EQ(afterDispatch(http::Transport::NotSent, false), Outcome::NotRun);
     EXPECT_EQ(afterDispatch(http::Transport::Completed, false), Outcome::Answered);
@@ -86,7 +86,7 @@
     EXPECT_EQ(afterDispatch(http::Transport::Cancelled, false), Outcome::Unknown);
 }
 
-TEST(ClaimRow, KeepsAnyBytesOfAnAnswer)
+TEST(ClaimRow, StoresArbitraryBytesOfAResponse)
 {
     std::string bytes;
     for (int i = 0; i < 256; i++) {
@@ -97,9 +97,9 @@
         claim.request = {"shop", "key", "hash"};
         claim.expiresAt = 123;
         const StoredResponse response{201, "text/plain", bytes.substr(256 - size)};
-        const table::Item item = endedItem(claim, {"entry-1", "boot"}, Outcome::Answered, response);
+        const table::Item item = finishedItem(claim, {"entry-1", "boot"}, Outcome::Answered, response);
         EXPECT_EQ(table::attribute(item, "expiresAt"), "123");
-        EXPECT_EQ(rowOf(item).response.body, response.body);
-        EXPECT_EQ(rowOf(item).response.contentType, "text/plain");
+        EXPECT_EQ(parseRow(item).response.body, response.body);
+        EXPECT_EQ(parseRow(item).response.contentType, "text/plain");
     }
 }
--- a/src/claims/tests/claimmanager_test.cpp
+++ b/src/claims/tests/claimmanager_test.cpp
@@ -9,17 +9,17 @@
 
 namespace {
 
-/// Two entry VMs before one table.
+/// Two entry VMs that share one table.
 class ClaimManagerTest : public ::testing::Test
 {
 protected:
     ClaimManagerTest()
     {
-        first = keeper("entry-1");
-        second = keeper("entry-2");
+        first = createManager("entry-1");
+        second = createManager("entry-2");
     }
 
-    std::shared_ptr<ClaimManager> keeper(const std::string &instance)
+    std::shared_ptr<ClaimManager> createManager(const std::string &instance)
     {
         transports.push_back(peers::LocalTransport::create(*loop, network, instance));
         auto members = membership::Members::create(instance);
@@ -61,7 +61,7 @@
 
 } // namespace
 
-TEST_F(ClaimManagerTest, RepeatTakesOverAfterALongWait)
+TEST_F(ClaimManagerTest, RepeatedRequestClaimsKeyReleasedAfterALongWait)
 {
     const auto holder = begin(*first);
     ASSERT_EQ(holder->outcome, BeginOutcome::Run);
@@ -75,7 +75,7 @@
     EXPECT_TRUE(second->mayDispatch(repeat->claim));
 }
 
-TEST_F(ClaimManagerTest, WaitingRepeatReadsTheTableOnce)
+TEST_F(ClaimManagerTest, WaitingRequestReadsTheTableOnce)
 {
     begin(*first);
     const auto repeat = begin(*second);
@@ -85,7 +85,7 @@
     EXPECT_LE(transports[1]->counters().callsSent, 11U);
 }
 
-TEST_F(ClaimManagerTest, LargeAnswerIsKeptWithoutItsBody)
+TEST_F(ClaimManagerTest, LargeResponseIsStoredWithoutItsBody)
 {
     const auto holder = begin(*first);
     first->finish(holder->claim, Outcome::Answered, {200, "text/plain", std::string(300 * 1024, 'x')});
@@ -96,16 +96,16 @@
     EXPECT_FALSE(repeat->response.hasBody);
 }
 
-TEST_F(ClaimManagerTest, TableDownIsNotRunAtOnceAndTakenBackLater)
+TEST_F(ClaimManagerTest, TableOutageGivesNotRunAndClaimIsDeletedLater)
 {
     table->faults.loseAnswers = true;
     const auto holder = begin(*first);
     run(std::chrono::seconds(1));
     EXPECT_EQ(holder->outcome, BeginOutcome::NotRun);
     EXPECT_FALSE(holder->keyLookedUp);
-    EXPECT_EQ(first->unsettled(), 1U);
+    EXPECT_EQ(first->unsettledCount(), 1U);
     table->faults.loseAnswers = false;
     run(std::chrono::seconds(6));
-    EXPECT_EQ(first->unsettled(), 0U);
+    EXPECT_EQ(first->unsettledCount(), 0U);
     EXPECT_EQ(begin(*second)->outcome, BeginOutcome::Run);
 }
--- a/src/claims/tests/claimmodel_test.cpp
+++ b/src/claims/tests/claimmodel_test.cpp
@@ -7,8 +7,8 @@
 #include <cstdio>
 #include <deque>
 
-// An exhaustive walk over the steps of three ClaimKeepers that share one table: every order of the table's answers, with
-// lost, refused and late writes, a crash or a pause of the holder, and every end of the dispatch.
+// Explores every interleaving of three ClaimManagers that share one table: every order of the table's answers, with lost,
+// refused and delayed writes, a crash or a pause of the holder, and every way in which the dispatch can end.
 
 using namespace cardamomlift;
 using namespace cardamomlift::claims;
@@ -17,11 +17,11 @@
 
 constexpr Duration Tick = std::chrono::milliseconds(100);
 constexpr Duration LongPause = std::chrono::seconds(10);
-constexpr Duration MostAge = std::chrono::seconds(3);
-constexpr int MostTicks = 400;
-constexpr int FaultBudget = 2;
+constexpr Duration MaxDispatchAge = std::chrono::seconds(3);
+constexpr int MaxTicks = 400;
+constexpr int MaxFaults = 2;
 
-/// Gives the choices of one path through the walk, and moves on to the next path.
+/// The choices of one path through the state space; next() moves on to the next path.
 class Choices
 {
 public:
@@ -64,9 +64,9 @@
     std::size_t position_ = 0;
 };
 
-enum class Fate { Done, AnswerLost, Refused, Late };
+enum class Ending { Done, AnswerLost, Refused, Delayed };
 
-/// A table whose operations wait until the walk says how each ends.
+/// A table whose operations wait until the test decides how each one ends.
 class StepTable : public table::Table
 {
 public:
@@ -77,8 +77,8 @@
 
     void get(table::Key key, table::GetHandler handler) override
     {
-        held.push_back([this, key = std::move(key), handler = std::move(handler)](Fate fate) {
-            if (fate == Fate::Done) {
+        pending.push_back([this, key = std::move(key), handler = std::move(handler)](Ending ending) {
+            if (ending == Ending::Done) {
                 handler(rows_->get(key));
             } else {
                 handler(failure(ErrorKind::Unavailable, "lost"));
@@ -97,14 +97,14 @@
 
     void transact(std::vector<table::Write> writes, std::string, table::WriteHandler handler) override
     {
-        held.push_back([this, writes = std::move(writes), handler = std::move(handler)](Fate fate) {
-            if (fate == Fate::Late) {
-                late.push_back([rows = rows_, writes] { rows->transact(writes, std::string()); });
+        pending.push_back([this, writes = std::move(writes), handler = std::move(handler)](Ending ending) {
+            if (ending == Ending::Delayed) {
+                delayed.push_back([rows = rows_, writes] { rows->transact(writes, std::string()); });
             }
             table::WriteResult result{table::WriteOutcome::Unknown};
-            if (fate == Fate::Done) {
+            if (ending == Ending::Done) {
                 result = rows_->transact(writes, std::string());
-            } else if (fate == Fate::AnswerLost) {
+            } else if (ending == Ending::AnswerLost) {
                 rows_->transact(writes, std::string());
             }
             handler(result);
@@ -116,21 +116,21 @@
         return counters_;
     }
 
-    std::deque<std::function<void(Fate)>> held;
-    std::deque<std::function<void()>> late; ///< Writes that take effect some time after their answer was lost.
+    std::deque<std::function<void(Ending)>> pending;
+    std::deque<std::function<void()>> delayed; ///< Writes that take effect after they were reported as Unknown.
 
 private:
     std::shared_ptr<table::MemoryRows> rows_;
     table::TableCounters counters_;
 };
 
-/// One entry VM with one attempt, and what was replied to its caller.
+/// One entry VM with one attempt, and the reply that its caller got.
 struct Node {
     std::unique_ptr<EventLoop> loop;
     std::shared_ptr<StepTable> table;
     std::shared_ptr<peers::LocalTransport> transport;
     std::shared_ptr<membership::Members> members;
-    std::shared_ptr<ClaimManager> keeper;
+    std::shared_ptr<ClaimManager> manager;
     bool begun = false;
     bool crashed = false;
     bool paused = false;
@@ -147,14 +147,14 @@
     }
     bool isOver() const
     {
-        return !begun || crashed || (replied && keeper->unsettled() == 0);
+        return !begun || crashed || (replied && manager->unsettledCount() == 0);
     }
 };
 
-class World
+class Simulation
 {
 public:
-    explicit World(Choices &choices)
+    explicit Simulation(Choices &choices)
         : choices_(choices)
         , rows_(std::make_shared<table::MemoryRows>())
         , network_(std::make_shared<peers::LocalNetwork>())
@@ -168,26 +168,26 @@
     {
         begin(0);
         int ticks = 0;
-        while (!(nodes[0].isOver() && nodes[1].isOver() && nodes[1].begun) && ticks < MostTicks) {
+        while (!(nodes[0].isOver() && nodes[1].isOver() && nodes[1].begun) && ticks < MaxTicks) {
             if (!step()) {
                 advance(Tick);
                 ticks++;
             }
         }
-        heal();
+        recover();
         const bool canLeave = nodes[0].isActive() && nodes[0].isOver();
         if (canLeave && choices_.pick(2) == 1) {
-            leave();
+            shutDown();
         }
         begin(2);
-        for (ticks = 0; ticks < MostTicks && !nodes[2].isOver(); ticks++) {
+        for (ticks = 0; ticks < MaxTicks && !nodes[2].isOver(); ticks++) {
             deliverAll();
             advance(Tick);
         }
     }
 
     int runs = 0;
-    bool mayStayUnknown = false; ///< A crash or a broken connection: nobody may ever know.
+    bool mayStayUnknown = false; ///< After a crash or a broken connection the outcome may never become known.
     bool sentLate = false;
     std::array<Node, 3> nodes;
 
@@ -207,7 +207,7 @@
             list[i].instance = "entry-" + std::to_string(i);
         }
         node.members->applyList(list);
-        node.keeper = ClaimManager::create({node.loop.get(), node.table, node.transport, node.members, {instance, "boot-" + instance}});
+        node.manager = ClaimManager::create({node.loop.get(), node.table, node.transport, node.members, {instance, "boot-" + instance}});
     }
 
     void begin(std::size_t index)
@@ -215,22 +215,22 @@
         Node &node = nodes[index];
         node.begun = true;
         ClaimRequest request{"shop", "key", "hash"};
-        node.keeper->begin(request, [&node](BeginResult result) {
+        node.manager->begin(request, [&node](BeginResult result) {
             node.result = std::move(result);
             if (node.result.outcome == BeginOutcome::Run) {
                 node.permitted = true;
                 return;
             }
             const bool isNotRun = node.result.outcome == BeginOutcome::NotRun;
-            tell(node, isNotRun ? Outcome::NotRun : Outcome::Unknown, "");
+            recordReply(node, isNotRun ? Outcome::NotRun : Outcome::Unknown, "");
             if (node.result.outcome == BeginOutcome::Replay) {
-                tell(node, Outcome::Answered, node.result.response.body);
+                recordReply(node, Outcome::Answered, node.result.response.body);
             }
         });
-        pump();
+        runLoops();
     }
 
-    static void tell(Node &node, Outcome outcome, const std::string &body)
+    static void recordReply(Node &node, Outcome outcome, const std::string &body)
     {
         node.replied = true;
         node.repliedOutcome = outcome;
@@ -240,39 +240,39 @@
     void dispatch(Node &node, http::Transport transport, bool reached)
     {
         node.permitted = false;
-        if (!node.keeper->mayDispatch(node.result.claim)) {
+        if (!node.manager->mayDispatch(node.result.claim)) {
             transport = http::Transport::NotSent;
             reached = false;
         }
         if (reached) {
             runs++;
             node.ran = true;
-            sentLate = sentLate || clock_.now() - node.result.claim.begunAt >= MostAge;
+            sentLate = sentLate || clock_.now() - node.result.claim.leaseStart >= MaxDispatchAge;
         }
         const Outcome outcome = afterDispatch(transport, false);
         mayStayUnknown = mayStayUnknown || outcome == Outcome::Unknown;
         const std::string body = outcome == Outcome::Answered ? "answer " + std::to_string(runs) : "";
-        node.keeper->finish(node.result.claim, outcome, {200, "text/plain", body});
-        tell(node, outcome, body);
+        node.manager->finish(node.result.claim, outcome, {200, "text/plain", body});
+        recordReply(node, outcome, body);
     }
 
     void addActions(std::vector<Action> &actions, Node &node)
     {
-        if (!node.table->held.empty()) {
-            actions.push_back([this, &node] { deliver(node, Fate::Done); });
+        if (!node.table->pending.empty()) {
+            actions.push_back([this, &node] { deliver(node, Ending::Done); });
         }
         if (node.permitted) {
             actions.push_back([this, &node] { dispatch(node, http::Transport::Completed, true); });
         }
-        if (faults_ >= FaultBudget) {
+        if (faults_ >= MaxFaults) {
             return;
         }
-        if (!node.table->held.empty()) {
-            for (const Fate fate : {Fate::AnswerLost, Fate::Refused, Fate::Late}) {
-                actions.push_back([this, &node, fate] {
+        if (!node.table->pending.empty()) {
+            for (const Ending ending : {Ending::AnswerLost, Ending::Refused, Ending::Delayed}) {
+                actions.push_back([this, &node, ending] {
                     faults_++;
-                    lateUsed_ = lateUsed_ || fate == Fate::Late;
-                    deliver(node, fate);
+                    delayedWriteUsed_ = delayedWriteUsed_ || ending == Ending::Delayed;
+                    deliver(node, ending);
                 });
             }
         }
@@ -294,7 +294,7 @@
             actions.push_back([this] { resume(); });
             return;
         }
-        if (faults_ >= FaultBudget || !holder.isActive()) {
+        if (faults_ >= MaxFaults || !holder.isActive()) {
             return;
         }
         actions.push_back([this] { crash(); });
@@ -305,7 +305,7 @@
         });
     }
 
-    /// Takes one step. False if there is none but to let time pass.
+    /// Takes one step. Returns false if nothing can happen until time passes.
     bool step()
     {
         std::vector<Action> actions;
@@ -315,14 +315,14 @@
             }
         }
         for (Node &node : nodes) {
-            if (!node.table->late.empty()) {
-                actions.push_back([&node] { land(node); });
+            if (!node.table->delayed.empty()) {
+                actions.push_back([&node] { applyDelayed(node); });
             }
         }
         if (!nodes[1].begun) {
             actions.push_back([this] { begin(1); });
         }
-        // With nothing else under way a fault of the holder changes nothing that was not walked before.
+        // With nothing else in progress, a fault of the holder leads to no state that is not explored elsewhere.
         if (!actions.empty() || nodes[0].paused) {
             addHolderFaults(actions);
         }
@@ -330,21 +330,21 @@
             return false;
         }
         actions[choices_.pick(actions.size())]();
-        pump();
+        runLoops();
         return true;
     }
 
-    static void deliver(Node &node, Fate fate)
+    static void deliver(Node &node, Ending ending)
     {
-        const auto operation = std::move(node.table->held.front());
-        node.table->held.pop_front();
-        operation(fate);
+        const auto operation = std::move(node.table->pending.front());
+        node.table->pending.pop_front();
+        operation(ending);
     }
 
-    static void land(Node &node)
+    static void applyDelayed(Node &node)
     {
-        const auto write = std::move(node.table->late.front());
-        node.table->late.pop_front();
+        const auto write = std::move(node.table->delayed.front());
+        node.table->delayed.pop_front();
         write();
     }
 
@@ -369,11 +369,11 @@
         cut(true);
     }
 
-    /// The first VM ends gracefully, with all ends of its calls in the table.
-    void leave()
+    /// The first VM shuts down gracefully, with the outcomes of all its calls in the table.
+    void shutDown()
     {
         nodes[0].crashed = true;
-        mayStayUnknown = mayStayUnknown || lateUsed_;
+        mayStayUnknown = mayStayUnknown || delayedWriteUsed_;
         cut(true);
     }
 
@@ -384,33 +384,33 @@
         cut(false);
     }
 
-    void heal()
+    void recover()
     {
         if (nodes[0].paused) {
             resume();
         }
-        for (int ticks = 0; ticks < MostTicks && !(nodes[0].isOver() && nodes[1].isOver()); ticks++) {
+        for (int ticks = 0; ticks < MaxTicks && !(nodes[0].isOver() && nodes[1].isOver()); ticks++) {
             deliverAll();
             advance(Tick);
         }
         for (Node &node : nodes) {
-            while (!node.table->late.empty()) {
-                land(node);
+            while (!node.table->delayed.empty()) {
+                applyDelayed(node);
             }
         }
     }
 
     void deliverAll()
     {
-        pump();
+        runLoops();
         for (Node &node : nodes) {
-            while (node.isActive() && !node.table->held.empty()) {
-                deliver(node, Fate::Done);
-                pump();
+            while (node.isActive() && !node.table->pending.empty()) {
+                deliver(node, Ending::Done);
+                runLoops();
             }
             if (node.isActive() && node.permitted) {
                 dispatch(node, http::Transport::Completed, true);
-                pump();
+                runLoops();
             }
         }
     }
@@ -418,10 +418,10 @@
     void advance(Duration by)
     {
         clock_.advance(by);
-        pump();
+        runLoops();
     }
 
-    void pump()
+    void runLoops()
     {
         for (int round = 0; round < 3; round++) {
             for (Node &node : nodes) {
@@ -437,10 +437,10 @@
     std::shared_ptr<table::MemoryRows> rows_;
     std::shared_ptr<peers::LocalNetwork> network_;
     int faults_ = 0;
-    bool lateUsed_ = false; ///< A claim that lands after it was taken back stays; only its own VM can release it.
+    bool delayedWriteUsed_ = false; ///< A claim written after its deletion stays in the table; only its own VM can release it.
 };
 
-/// What the walk found over all paths.
+/// Counts of violations over all paths.
 struct Findings {
     int paths = 0;
     int ranTwice = 0;
@@ -448,25 +448,25 @@
     int otherAnswer = 0;
     int sentLate = 0;
     int neverReplied = 0;
-    int stuck = 0; ///< Nobody crashed and no connection broke, and yet the repeat afterwards was not answered.
-    int unknownNotRun = 0; ///< The repeat got "unknown" though nothing had run.
+    int stuck = 0; ///< Without any crash or broken connection, the repeated request was not answered afterwards.
+    int unknownNotRun = 0; ///< The repeated request got "unknown" though nothing had run.
     std::string example;
 };
 
-void check(const World &world, const Choices &choices, Findings &findings)
+void check(const Simulation &simulation, const Choices &choices, Findings &findings)
 {
     int before = findings.ranTwice + findings.falseNotRun + findings.otherAnswer + findings.sentLate + findings.neverReplied + findings.stuck;
     findings.paths++;
-    findings.ranTwice += world.runs > 1 ? 1 : 0;
-    findings.sentLate += world.sentLate ? 1 : 0;
-    for (const Node &node : world.nodes) {
+    findings.ranTwice += simulation.runs > 1 ? 1 : 0;
+    findings.sentLate += simulation.sentLate ? 1 : 0;
+    for (const Node &node : simulation.nodes) {
         findings.neverReplied += !node.crashed && !node.replied ? 1 : 0;
         findings.falseNotRun += node.replied && node.repliedOutcome == Outcome::NotRun && node.ran ? 1 : 0;
         findings.otherAnswer += node.replied && node.repliedOutcome == Outcome::Answered && node.repliedBody != "answer 1" ? 1 : 0;
     }
-    const bool answered = world.nodes[2].replied && world.nodes[2].repliedOutcome == Outcome::Answered;
-    findings.stuck += !answered && !world.mayStayUnknown ? 1 : 0;
-    findings.unknownNotRun += !answered && world.runs == 0 ? 1 : 0;
+    const bool answered = simulation.nodes[2].replied && simulation.nodes[2].repliedOutcome == Outcome::Answered;
+    findings.stuck += !answered && !simulation.mayStayUnknown ? 1 : 0;
+    findings.unknownNotRun += !answered && simulation.runs == 0 ? 1 : 0;
     before -= findings.ranTwice + findings.falseNotRun + findings.otherAnswer + findings.sentLate + findings.neverReplied + findings.stuck;
     if (before != 0 && findings.example.empty()) {
         findings.example = choices.text();
@@ -475,14 +475,14 @@
 
 } // namespace
 
-TEST(ClaimWalk, EveryOrderOfStepsAndFaults)
+TEST(ClaimModel, EveryOrderOfStepsAndFaults)
 {
     Choices choices;
     Findings findings;
     do {
-        World world(choices);
-        world.run();
-        check(world, choices, findings);
+        Simulation simulation(choices);
+        simulation.run();
+        check(simulation, choices, findings);
     } while (choices.next());
     std::printf("paths=%d unknown-though-not-run=%d\n", findings.paths, findings.unknownNotRun);
     EXPECT_GT(findings.paths, 1000);
--- a/src/claims/tests/claimprotocols_test.cpp
+++ b/src/claims/tests/claimprotocols_test.cpp
@@ -4,8 +4,9 @@
 #include <cstdio>
 #include <span>
 
-// Weighs one write (the claim is the permission to dispatch) against two (claim, then commit to dispatch): the holder
-// dies after each of its steps; what may a second VM, which reads the table, truthfully say?
+// Compares two protocols: one write before the dispatch (the claim is the permission to dispatch) and two writes (claim,
+// then commit to dispatch). The holder crashes after each of its steps; the test counts the crashes after which a second
+// VM, which reads the table, can only report an unknown outcome.
 
 namespace {
 
@@ -19,15 +20,15 @@
     HolderStep::FirstByte,
     HolderStep::AnswerTakesEffect};
 
-struct Weighed {
+struct ProtocolCost {
     int writes = 0;
     int writesBeforeDispatch = 0;
-    int unknownThoughNotRun = 0; ///< Places to die where the second VM must say "unknown" though nothing ran.
+    int unknownThoughNotRun = 0; ///< Crash points after which the second VM must report "unknown" though nothing ran.
 };
 
-Weighed weigh(std::span<const HolderStep> steps, HolderStep permission)
+ProtocolCost evaluate(std::span<const HolderStep> steps, HolderStep permission)
 {
-    Weighed weighed;
+    ProtocolCost cost;
     for (std::size_t done = 0; done <= steps.size(); done++) {
         bool permitted = false;
         bool ran = false;
@@ -37,25 +38,25 @@
             ran = ran || step == HolderStep::FirstByte;
             answered = answered || step == HolderStep::AnswerTakesEffect;
         }
-        // Before the permission stands, the second VM can void the claim by a conditional write.
-        weighed.unknownThoughNotRun += permitted && !ran && !answered ? 1 : 0;
+        // Before the permission is written, the second VM can replace the claim by a conditional write.
+        cost.unknownThoughNotRun += permitted && !ran && !answered ? 1 : 0;
     }
     for (const HolderStep step : steps) {
         const bool isWrite = step == HolderStep::ClaimTakesEffect || step == HolderStep::CommitTakesEffect || step == HolderStep::AnswerTakesEffect;
-        weighed.writes += isWrite ? 1 : 0;
-        weighed.writesBeforeDispatch += isWrite && step != HolderStep::AnswerTakesEffect ? 1 : 0;
+        cost.writes += isWrite ? 1 : 0;
+        cost.writesBeforeDispatch += isWrite && step != HolderStep::AnswerTakesEffect ? 1 : 0;
     }
-    return weighed;
+    return cost;
 }
 
 } // namespace
 
 TEST(ClaimProtocols, SecondWriteDoesNotNarrowTheUnknownWindow)
 {
-    const Weighed one = weigh(OneWrite, HolderStep::ClaimTakesEffect);
-    const Weighed two = weigh(TwoWrites, HolderStep::CommitTakesEffect);
-    for (const Weighed &each : {one, two}) {
-        std::printf("writes=%d before-dispatch=%d places-to-die-unknown-though-not-run=%d\n", each.writes, each.writesBeforeDispatch, each.unknownThoughNotRun);
+    const ProtocolCost one = evaluate(OneWrite, HolderStep::ClaimTakesEffect);
+    const ProtocolCost two = evaluate(TwoWrites, HolderStep::CommitTakesEffect);
+    for (const ProtocolCost &cost : {one, two}) {
+        std::printf("writes=%d before-dispatch=%d crash-points-unknown-though-not-run=%d\n", cost.writes, cost.writesBeforeDispatch, cost.unknownThoughNotRun);
     }
     EXPECT_EQ(one.unknownThoughNotRun, two.unknownThoughNotRun);
     EXPECT_LT(one.writes, two.writes);
--- a/src/claims/tests/writebatcher_test.cpp
+++ b/src/claims/tests/writebatcher_test.cpp
@@ -19,7 +19,7 @@
         write.condition.kind = condition;
         const std::size_t index = outcomes.size();
         outcomes.emplace_back();
-        grouper->submit(
+        batcher->submit(
             write, [isWanted] { return isWanted; }, [this, index](const table::WriteResult &result) { outcomes[index] = result.outcome; });
     }
 
@@ -34,13 +34,13 @@
     std::unique_ptr<EventLoop> loop = std::move(EventLoop::create(clock).value());
     std::shared_ptr<table::MemoryRows> rows = std::make_shared<table::MemoryRows>();
     std::shared_ptr<table::MemoryTable> table = table::MemoryTable::create(*loop, rows);
-    std::shared_ptr<WriteBatcher> grouper = WriteBatcher::create(*loop, table);
+    std::shared_ptr<WriteBatcher> batcher = WriteBatcher::create(*loop, table);
     std::vector<std::optional<WriteOutcome>> outcomes;
 };
 
 } // namespace
 
-TEST_F(WriteBatcherTest, GathersWritesOfOneTurn)
+TEST_F(WriteBatcherTest, BatchesWritesOfOneLoopIteration)
 {
     for (int i = 0; i < 250; i++) {
         submit("key-" + std::to_string(i));
@@ -50,7 +50,7 @@
     EXPECT_EQ(rows->size(), 250U);
 }
 
-TEST_F(WriteBatcherTest, SettlesTheFailedAndSendsTheOthersAgain)
+TEST_F(WriteBatcherTest, ReportsFailedWritesAndResendsTheOthers)
 {
     submit("taken");
     run();
@@ -74,7 +74,7 @@
     EXPECT_EQ(outcomes[2], WriteOutcome::Written);
 }
 
-TEST_F(WriteBatcherTest, SendsNothingThatIsNoLongerWanted)
+TEST_F(WriteBatcherTest, SendsNoWriteThatIsNoLongerNeeded)
 {
     submit("key", table::ConditionKind::ItemAbsent, false);
     run();
