--- a/src/spending/internal/spendingaccount.h
+++ b/src/spending/internal/spendingaccount.h
@@ -13,11 +13,11 @@
 
 inline constexpr Duration TableBackoff = std::chrono::milliseconds(500);
 
-/// One change of the allotment that is being written.
-struct SpendingLimiter::Step {
-    Micros amount = 0; ///< Positive: taken. Negative: given back, and no longer held.
+/// A change of the allotment that is being written to the table.
+struct SpendingLimiter::AllotmentWrite {
+    Micros amount = 0; ///< Positive: taken. Negative: returned, and no longer held.
     AllotmentItem after;
-    bool inDoubt = false; ///< An earlier write of this step may have taken effect, or still may.
+    bool inDoubt = false; ///< An earlier try of this write may have taken effect, or may still do so.
 };
 
 struct SpendingLimiter::Account {
@@ -33,46 +33,46 @@
     Micros reserved = 0;
     Micros spent = 0;
     AllotmentItem item;
-    bool isKnown = false; ///< item was read or written by us; it may be out of date.
-    bool isFresh = false; ///< item was read for the requests that wait now.
+    bool isKnown = false; ///< item was read or written by this VM; it may be out of date.
+    bool isFresh = false; ///< item was read since the latest request started to wait.
     bool isReading = false;
-    std::optional<Step> step;
+    std::optional<AllotmentWrite> pendingWrite;
     std::list<Waiting> waiting;
-    bool needsStamp = false; ///< The bound was lowered, and the table does not know it from us yet.
-    bool giveBack = false; ///< Idle, draining, or asked by a peer.
+    bool mustPublishBound = false; ///< The bound was lowered, and this VM has not written the new one to the table yet.
+    bool shouldReturn = false; ///< What is held is to be returned: idle, draining, or requested by a peer.
     std::vector<peers::Reply> releaseReplies;
-    std::set<std::string> asked;
-    std::size_t asksOpen = 0;
-    TimePoint askedSince;
+    std::set<std::string> askedHolders;
+    std::size_t pendingAsks = 0;
+    TimePoint askedHoldersSince;
     TimePoint downUntil;
     TimePoint exhaustedUntil;
-    Micros exhaustedFrom = 0; ///< Until then requests of this size and more are refused at once.
-    TimePoint aheadAfter;
+    Micros exhaustedFrom = 0; ///< Until exhaustedUntil, requests of this size and more are refused at once.
+    TimePoint nextTakeAhead;
     TimePoint lastUse;
     Micros spentInPeriod = 0;
     Micros perSecond = 0;
 
-    // The newest bound that is known here or, by the item, anywhere.
-    Micros boundNow() const
+    // The newer of the bound of this VM's contract and the bound in the item from the table.
+    Micros currentBound() const
     {
         return item.boundVersion > boundVersion ? item.bound : bound;
     }
-    // After a bound was lowered, what is held may lie above it. Once the table knows the new bound nobody can take above
-    // it, so an allotment within the bound is then proof.
+    // After the bound was lowered, what is held may exceed it. Once the table has the new bound, no VM can take more than
+    // that, so an allotment within the bound then proves that what is held may be spent.
     bool mayUseHeld() const
     {
-        return !needsStamp && item.allotted <= boundNow();
+        return !mustPublishBound && item.allotted <= currentBound();
     }
-    ChunkQuestion question(Micros need) const
+    ChunkInputs chunkInputs(Micros need) const
     {
-        return {boundNow(), item.allotted, need, perSecond, static_cast<std::int64_t>(item.holders.size())};
+        return {currentBound(), item.allotted, need, perSecond, static_cast<std::int64_t>(item.holders.size())};
     }
     Micros smallestNeed() const
     {
         const auto least = std::min_element(waiting.begin(), waiting.end(), [](const auto &a, const auto &b) { return a.micros < b.micros; });
         return least == waiting.end() ? 0 : std::max<Micros>(0, least->micros - held);
     }
-    Micros wholeNeed() const
+    Micros totalNeed() const
     {
         Micros sum = -held;
         for (const Waiting &entry : waiting) {
--- a/src/spending/internal/spendinglimiter.cpp
+++ b/src/spending/internal/spendinglimiter.cpp
@@ -11,24 +11,24 @@
 
 namespace {
 
-constexpr Duration TidyPeriod = std::chrono::seconds(5);
+constexpr Duration MaintenancePeriod = std::chrono::seconds(5);
 constexpr Duration IdleAfter = std::chrono::minutes(2);
-constexpr Duration LongestWait = std::chrono::seconds(1);
-constexpr Duration ExhaustedFor = std::chrono::seconds(1);
-constexpr Duration AheadPeriod = std::chrono::seconds(1);
+constexpr Duration MaxWait = std::chrono::seconds(1);
+constexpr Duration ExhaustedPeriod = std::chrono::seconds(1);
+constexpr Duration TakeAheadPeriod = std::chrono::seconds(1);
 constexpr Duration ReleaseTimeout = std::chrono::milliseconds(300);
-constexpr std::int64_t LowWaterSeconds = 900; ///< How long an outage of the table is survived at least.
-constexpr std::size_t AskedAtOnce = 8;
-constexpr std::size_t AskedPerSecond = 16;
+constexpr std::int64_t LowWaterSeconds = 900; ///< How long an outage of the table is bridged at least.
+constexpr std::size_t MaxConcurrentAsks = 8;
+constexpr std::size_t MaxAsksPerSecond = 16;
 constexpr char ReleaseTopic[] = "spending.release";
 constexpr char DaySeparator = '#';
 
-std::string writeAccountKey(const AccountKey &key)
+std::string formatAccountKey(const AccountKey &key)
 {
     return key.customer + DaySeparator + std::to_string(key.day);
 }
 
-AccountKey readAccountKey(const std::string &text)
+AccountKey parseAccountKey(const std::string &text)
 {
     const auto separator = text.rfind(DaySeparator);
     AccountKey key;
@@ -43,31 +43,31 @@
 
 std::shared_ptr<SpendingLimiter> SpendingLimiter::create(SpendingTools tools)
 {
-    std::shared_ptr<SpendingLimiter> keeper(new SpendingLimiter);
-    keeper->tools_ = std::move(tools);
-    const std::weak_ptr<SpendingLimiter> weak = keeper;
-    keeper->tools_.contracts->onChange([weak](const contract::ContractInForce &contract) {
+    std::shared_ptr<SpendingLimiter> limiter(new SpendingLimiter);
+    limiter->tools_ = std::move(tools);
+    const std::weak_ptr<SpendingLimiter> weak = limiter;
+    limiter->tools_.contracts->onChange([weak](const contract::ContractInForce &contract) {
         if (const auto self = weak.lock()) {
             self->onContract(contract);
         }
     });
-    if (keeper->tools_.peers) {
-        keeper->tools_.peers->handle(ReleaseTopic, [weak](const std::string &, const std::string &payload, peers::Reply reply) {
+    if (limiter->tools_.peers) {
+        limiter->tools_.peers->handle(ReleaseTopic, [weak](const std::string &, const std::string &payload, peers::Reply reply) {
             const auto self = weak.lock();
             if (!self) {
                 reply(std::string());
                 return;
             }
-            self->onReleaseAsked(payload, std::move(reply));
+            self->onReleaseRequest(payload, std::move(reply));
         });
     }
-    keeper->tidyTimer_ = keeper->tools_.loop->every(TidyPeriod, [raw = keeper.get()] { raw->tidy(); });
-    return keeper;
+    limiter->maintenanceTimer_ = limiter->tools_.loop->every(MaintenancePeriod, [raw = limiter.get()] { raw->runMaintenance(); });
+    return limiter;
 }
 
 SpendingLimiter::~SpendingLimiter()
 {
-    tools_.loop->cancel(tidyTimer_);
+    tools_.loop->cancel(maintenanceTimer_);
 }
 
 void SpendingLimiter::count(std::string_view name)
@@ -82,7 +82,7 @@
     return key.day == dayOf(tools_.loop->clock().wallNow());
 }
 
-SpendingLimiter::AccountPtr SpendingLimiter::accountOf(const AccountKey &key, const contract::ContractInForce &contract)
+SpendingLimiter::AccountPtr SpendingLimiter::findOrAddAccount(const AccountKey &key, const contract::ContractInForce &contract)
 {
     AccountPtr &account = accounts_[key];
     if (!account) {
@@ -104,11 +104,11 @@
             continue;
         }
         const Micros bound = boundOf(contract.contract.spending);
-        account->needsStamp = account->needsStamp || bound < account->bound;
+        account->mustPublishBound = account->mustPublishBound || bound < account->bound;
         account->bound = bound;
         account->boundVersion = contract.version.version;
         account->exhaustedUntil = TimePoint();
-        next(account);
+        advance(account);
     }
 }
 
@@ -120,18 +120,18 @@
         handler({ReserveOutcome::Reserved, {key, 0}, Duration(0)});
         return;
     }
-    const AccountPtr account = accountOf(key, contract);
+    const AccountPtr account = findOrAddAccount(key, contract);
     const TimePoint now = tools_.loop->now();
     if (account->mayUseHeld() && account->held >= micros) {
         account->held -= micros;
         account->reserved += micros;
         handler({ReserveOutcome::Reserved, {key, micros}, Duration(0)});
-        next(account);
+        advance(account);
         return;
     }
     const bool isExhausted = now < account->exhaustedUntil && micros >= account->exhaustedFrom;
-    if (micros > account->boundNow() || isExhausted) {
-        handler({ReserveOutcome::BoundReached, {}, account->reserved > 0 ? ExhaustedFor : untilNextDay(wallNow)});
+    if (micros > account->currentBound() || isExhausted) {
+        handler({ReserveOutcome::BoundReached, {}, account->reserved > 0 ? ExhaustedPeriod : untilNextDay(wallNow)});
         return;
     }
     if (now < account->downUntil) {
@@ -139,14 +139,14 @@
         return;
     }
     const std::weak_ptr<SpendingLimiter> weak = weak_from_this();
-    const TimerId timer = tools_.loop->after(LongestWait, [weak, account] {
+    const TimerId timer = tools_.loop->after(MaxWait, [weak, account] {
         if (const auto self = weak.lock()) {
             self->failWaiting(account, ReserveOutcome::TableDown, TableBackoff);
         }
     });
     account->isFresh = false;
     account->waiting.push_back({micros, std::move(handler), timer});
-    next(account);
+    advance(account);
 }
 
 void SpendingLimiter::settle(const Reservation &reservation, Micros spent)
@@ -157,35 +157,35 @@
     }
     const AccountPtr account = found->second;
     if (spent > reservation.micros) {
-        partLogger("spending")->warn("A request used more than its worst case. customer={}", reservation.account.customer);
+        partLogger("spending")->warn("A request cost more than was reserved for it. customer={}", reservation.account.customer);
     }
     account->reserved -= reservation.micros;
     account->spent += spent;
     account->spentInPeriod += spent;
     account->held += reservation.micros - spent;
-    account->giveBack = account->giveBack || draining_;
-    next(account);
+    account->shouldReturn = account->shouldReturn || draining_;
+    advance(account);
 }
 
-// Decides what this account needs next. Called after everything that happens to it.
-void SpendingLimiter::next(const AccountPtr &account)
+// Starts the next operation that the account needs, if any. Called after every event that concerns the account.
+void SpendingLimiter::advance(const AccountPtr &account)
 {
-    if (account->step || account->isReading || account->asksOpen > 0) {
+    if (account->pendingWrite || account->isReading || account->pendingAsks > 0) {
         return;
     }
     serveWaiting(account);
     if (tools_.loop->now() < account->downUntil) {
         return;
     }
-    if (returnsNow(account)) {
+    if (mustReturn(account)) {
         if (account->isKnown) {
-            startStep(account, -account->held);
+            startWrite(account, -account->held);
         } else {
-            readItem(account);
+            refreshItem(account);
         }
         return;
     }
-    account->giveBack = false;
+    account->shouldReturn = false;
     for (const auto &reply : std::exchange(account->releaseReplies, {})) {
         reply(std::string());
     }
@@ -196,45 +196,45 @@
     }
 }
 
-bool SpendingLimiter::returnsNow(const AccountPtr &account) const
+bool SpendingLimiter::mustReturn(const AccountPtr &account) const
 {
     if (!isToday(account->key)) {
         return false;
     }
-    if (account->needsStamp) {
-        account->needsStamp = account->held > 0 || account->reserved > 0;
-        return account->needsStamp;
+    if (account->mustPublishBound) {
+        account->mustPublishBound = account->held > 0 || account->reserved > 0;
+        return account->mustPublishBound;
     }
-    return account->held > 0 && (account->giveBack || !account->mayUseHeld());
+    return account->held > 0 && (account->shouldReturn || !account->mayUseHeld());
 }
 
 void SpendingLimiter::take(const AccountPtr &account)
 {
     if (!account->isKnown) {
-        readItem(account);
+        refreshItem(account);
         return;
     }
-    ChunkQuestion question = account->question(account->wholeNeed());
-    Micros amount = chunkToTake(question);
+    ChunkInputs inputs = account->chunkInputs(account->totalNeed());
+    Micros amount = chunkSize(inputs);
     if (amount == 0) {
-        question.need = account->smallestNeed();
-        amount = chunkToTake(question);
+        inputs.need = account->smallestNeed();
+        amount = chunkSize(inputs);
     }
     if (amount > 0) {
-        startStep(account, amount);
+        startWrite(account, amount);
         return;
     }
     if (!account->isFresh) {
-        readItem(account);
+        refreshItem(account);
         return;
     }
     if (askHolders(account)) {
         return;
     }
-    account->exhaustedUntil = tools_.loop->now() + ExhaustedFor;
+    account->exhaustedUntil = tools_.loop->now() + ExhaustedPeriod;
     account->exhaustedFrom = account->held + account->smallestNeed();
-    const bool mayFree = account->reserved > 0;
-    failWaiting(account, ReserveOutcome::BoundReached, mayFree ? ExhaustedFor : untilNextDay(tools_.loop->clock().wallNow()));
+    const bool mayBecomeFree = account->reserved > 0;
+    failWaiting(account, ReserveOutcome::BoundReached, mayBecomeFree ? ExhaustedPeriod : untilNextDay(tools_.loop->clock().wallNow()));
 }
 
 void SpendingLimiter::takeAhead(const AccountPtr &account)
@@ -242,13 +242,13 @@
     const TimePoint now = tools_.loop->now();
     const bool isLow = account->held < account->perSecond * LowWaterSeconds;
     const bool isIdle = now - account->lastUse >= IdleAfter;
-    if (!isLow || isIdle || !account->isKnown || draining_ || now < account->aheadAfter || !isToday(account->key)) {
+    if (!isLow || isIdle || !account->isKnown || draining_ || now < account->nextTakeAhead || !isToday(account->key)) {
         return;
     }
-    account->aheadAfter = now + AheadPeriod;
-    const Micros amount = chunkToTake(account->question(0));
+    account->nextTakeAhead = now + TakeAheadPeriod;
+    const Micros amount = chunkSize(account->chunkInputs(0));
     if (amount > 0) {
-        startStep(account, amount);
+        startWrite(account, amount);
     }
 }
 
@@ -268,7 +268,7 @@
         const ReserveResult result{ReserveOutcome::Reserved, {account->key, entry->micros}, Duration(0)};
         const ReserveHandler handler = std::move(entry->handler);
         account->waiting.erase(entry);
-        // NOTE The handler may come back in here, so nothing of the list is kept over the call.
+        // NOTE The handler may reenter this function, so no iterator is kept across the call.
         handler(result);
         entry = account->waiting.begin();
     }
@@ -282,72 +282,72 @@
     }
 }
 
-// Asks some VMs that may hold unused money to give it back to the table. Says whether it asked any.
+// Asks some VMs that may hold unused money to return it to the table. Returns whether any was asked.
 bool SpendingLimiter::askHolders(const AccountPtr &account)
 {
     if (!tools_.peers || !tools_.members) {
         return false;
     }
     const TimePoint now = tools_.loop->now();
-    if (now - account->askedSince >= ExhaustedFor) {
-        account->asked.clear();
-        account->askedSince = now;
+    if (now - account->askedHoldersSince >= ExhaustedPeriod) {
+        account->askedHolders.clear();
+        account->askedHoldersSince = now;
     }
     std::vector<membership::Vm> targets;
     for (const auto &[instance, holder] : account->item.holders) {
         const membership::Vm *vm = tools_.members->find(instance);
-        const bool isNew = instance != tools_.instance && !account->asked.contains(instance);
-        if (!holder.mayHold || !isNew || !vm || targets.size() >= AskedAtOnce || account->asked.size() >= AskedPerSecond) {
+        const bool isNew = instance != tools_.instance && !account->askedHolders.contains(instance);
+        if (!holder.mayHold || !isNew || !vm || targets.size() >= MaxConcurrentAsks || account->askedHolders.size() >= MaxAsksPerSecond) {
             continue;
         }
-        account->asked.insert(instance);
+        account->askedHolders.insert(instance);
         targets.push_back(*vm);
     }
-    account->asksOpen = targets.size();
+    account->pendingAsks = targets.size();
     const std::weak_ptr<SpendingLimiter> weak = weak_from_this();
     for (const membership::Vm &vm : targets) {
         count("spending_release_asks_total");
         tools_.peers->send(
-            membership::peerAddress(vm), ReleaseTopic, writeAccountKey(account->key), ReleaseTimeout, [weak, account](const Result<std::string> &) {
+            membership::peerAddress(vm), ReleaseTopic, formatAccountKey(account->key), ReleaseTimeout, [weak, account](const Result<std::string> &) {
                 const auto self = weak.lock();
-                account->asksOpen--;
-                if (self && account->asksOpen == 0) {
+                account->pendingAsks--;
+                if (self && account->pendingAsks == 0) {
                     account->isKnown = false;
-                    self->next(account);
+                    self->advance(account);
                 }
             });
     }
     return !targets.empty();
 }
 
-void SpendingLimiter::onReleaseAsked(const std::string &payload, peers::Reply reply)
+void SpendingLimiter::onReleaseRequest(const std::string &payload, peers::Reply reply)
 {
-    const auto found = accounts_.find(readAccountKey(payload));
+    const auto found = accounts_.find(parseAccountKey(payload));
     if (found == accounts_.end() || found->second->held <= 0 || !found->second->waiting.empty()) {
         reply(std::string());
         return;
     }
     const AccountPtr account = found->second;
-    account->giveBack = true;
+    account->shouldReturn = true;
     account->releaseReplies.push_back(std::move(reply));
-    next(account);
+    advance(account);
 }
 
 void SpendingLimiter::drain()
 {
     draining_ = true;
     for (const auto &[key, account] : accounts_) {
-        account->giveBack = true;
-        next(account);
+        account->shouldReturn = true;
+        advance(account);
     }
 }
 
-std::size_t SpendingLimiter::openReturns() const
+std::size_t SpendingLimiter::pendingReturns() const
 {
     const TimePoint now = tools_.loop->now();
     return static_cast<std::size_t>(std::count_if(accounts_.begin(), accounts_.end(), [now](const auto &entry) {
         const Account &account = *entry.second;
-        return account.step && account.step->amount < 0 && now >= account.downUntil;
+        return account.pendingWrite && account.pendingWrite->amount < 0 && now >= account.downUntil;
     }));
 }
 
@@ -357,18 +357,19 @@
     return found == accounts_.end() ? AccountView() : AccountView{found->second->held, found->second->reserved, found->second->spent};
 }
 
-void SpendingLimiter::tidy()
+void SpendingLimiter::runMaintenance()
 {
     const TimePoint now = tools_.loop->now();
-    const auto seconds = std::chrono::duration_cast<std::chrono::seconds>(TidyPeriod).count();
-    std::erase_if(accounts_,
-        [this](const auto &entry) { return !isToday(entry.first) && !entry.second->step && entry.second->reserved == 0 && entry.second->waiting.empty(); });
+    const auto seconds = std::chrono::duration_cast<std::chrono::seconds>(MaintenancePeriod).count();
+    std::erase_if(accounts_, [this](const auto &entry) {
+        return !isToday(entry.first) && !entry.second->pendingWrite && entry.second->reserved == 0 && entry.second->waiting.empty();
+    });
     for (const auto &[key, account] : accounts_) {
         account->perSecond = (account->perSecond + std::exchange(account->spentInPeriod, 0) / seconds) / 2;
         if (now - account->lastUse >= IdleAfter && account->held > 0) {
-            account->giveBack = true;
+            account->shouldReturn = true;
         }
-        next(account);
+        advance(account);
     }
 }
 
--- a/src/spending/internal/spendinglimitertable.cpp
+++ b/src/spending/internal/spendinglimitertable.cpp
@@ -1,4 +1,4 @@
-// How a keeper reads and writes an account's item in the table, and finds out what became of a write.
+// How a SpendingLimiter reads and writes an account's item in the table, and finds out whether a write took effect.
 
 #include "spending/spendinglimiter.h"
 
@@ -12,17 +12,17 @@
 
 namespace {
 
-constexpr Duration RewriteAfter = std::chrono::milliseconds(20);
+constexpr Duration RetryDelay = std::chrono::milliseconds(20);
 constexpr std::size_t NonceBytes = 8;
 constexpr std::int64_t DaysKept = 2;
 
 } // namespace
 
-void SpendingLimiter::readStored(const AccountPtr &account, std::function<void(const AllotmentItem &stored)> handler)
+void SpendingLimiter::fetchItem(const AccountPtr &account, std::function<void(const AllotmentItem &stored)> handler)
 {
     account->isReading = true;
     const std::weak_ptr<SpendingLimiter> weak = weak_from_this();
-    tools_.table->get(keyOf(account->key), [weak, account, handler = std::move(handler)](Result<std::optional<table::Item>> item) {
+    tools_.table->get(itemKey(account->key), [weak, account, handler = std::move(handler)](Result<std::optional<table::Item>> item) {
         const auto self = weak.lock();
         if (!self) {
             return;
@@ -37,37 +37,37 @@
     });
 }
 
-void SpendingLimiter::readItem(const AccountPtr &account)
+void SpendingLimiter::refreshItem(const AccountPtr &account)
 {
-    // NOTE readStored() calls its handler only while the keeper lives.
-    readStored(account, [this, account](const AllotmentItem &stored) {
+    // NOTE fetchItem() calls its handler only while the limiter exists.
+    fetchItem(account, [this, account](const AllotmentItem &stored) {
         account->item = stored;
         account->isKnown = true;
         account->isFresh = true;
-        next(account);
+        advance(account);
     });
 }
 
-void SpendingLimiter::startStep(const AccountPtr &account, Micros amount)
+void SpendingLimiter::startWrite(const AccountPtr &account, Micros amount)
 {
-    Step step;
-    step.amount = amount;
-    step.after = account->item;
-    step.after.version++;
-    step.after.allotted += amount;
-    step.after.bound = account->boundNow();
-    step.after.boundVersion = std::max(account->boundVersion, account->item.boundVersion);
+    AllotmentWrite pending;
+    pending.amount = amount;
+    pending.after = account->item;
+    pending.after.version++;
+    pending.after.allotted += amount;
+    pending.after.bound = account->currentBound();
+    pending.after.boundVersion = std::max(account->boundVersion, account->item.boundVersion);
     const bool mayHold = amount > 0 || account->reserved > 0;
-    setHolder(step.after, tools_.instance, {text::randomHex(NonceBytes), mayHold});
-    // What is given back can't be spent from now on, however the write ends.
+    setHolder(pending.after, tools_.instance, {text::randomHex(NonceBytes), mayHold});
+    // What is being returned must not be spent while the write may still take effect.
     account->held += std::min<Micros>(amount, 0);
-    account->step = std::move(step);
-    writeStep(account);
+    account->pendingWrite = std::move(pending);
+    sendWrite(account);
 }
 
-void SpendingLimiter::writeStep(const AccountPtr &account)
+void SpendingLimiter::sendWrite(const AccountPtr &account)
 {
-    const AllotmentItem &after = account->step->after;
+    const AllotmentItem &after = account->pendingWrite->after;
     table::Write write;
     write.item = toTableItem(account->key, after);
     write.condition = {table::ConditionKind::AttributeEquals, "version", std::to_string(after.version - 1)};
@@ -85,80 +85,80 @@
 
 void SpendingLimiter::onWritten(const AccountPtr &account, table::WriteOutcome outcome)
 {
-    Step &step = *account->step;
+    AllotmentWrite &pending = *account->pendingWrite;
     if (outcome == table::WriteOutcome::Written) {
-        account->item = step.after;
-        if (step.after.version == 1) {
-            forgetDayBefore(account->key);
+        account->item = pending.after;
+        if (pending.after.version == 1) {
+            deleteOldItem(account->key);
         }
-        endStep(account, true);
+        finishWrite(account, true);
         return;
     }
-    if (outcome == table::WriteOutcome::Unknown || (step.inDoubt && outcome == table::WriteOutcome::ConditionFailed)) {
-        step.inDoubt = true;
-        resolve(account);
+    if (outcome == table::WriteOutcome::Unknown || (pending.inDoubt && outcome == table::WriteOutcome::ConditionFailed)) {
+        pending.inDoubt = true;
+        resolveWrite(account);
         return;
     }
     if (outcome == table::WriteOutcome::ConditionFailed) {
         account->isKnown = false;
-        endStep(account, false);
+        finishWrite(account, false);
         return;
     }
-    if (!step.inDoubt) {
-        account->held -= std::min<Micros>(step.amount, 0);
-        account->step.reset();
+    if (!pending.inDoubt) {
+        account->held -= std::min<Micros>(pending.amount, 0);
+        account->pendingWrite.reset();
     }
     onTableDown(account);
 }
 
-void SpendingLimiter::resolve(const AccountPtr &account)
+void SpendingLimiter::resolveWrite(const AccountPtr &account)
 {
-    readStored(account, [this, account](const AllotmentItem &stored) { judgeStep(account, stored); });
+    fetchItem(account, [this, account](const AllotmentItem &stored) { decideWriteOutcome(account, stored); });
 }
 
-// Finds out whether a write whose answer was lost took effect. Only an item that is newer than the one the write was
+// Determines whether a write whose answer was lost took effect. Only a stored item newer than the one the write was
 // based on proves that it did not and never will.
-void SpendingLimiter::judgeStep(const AccountPtr &account, const AllotmentItem &stored)
+void SpendingLimiter::decideWriteOutcome(const AccountPtr &account, const AllotmentItem &stored)
 {
-    Step &step = *account->step;
-    if (stored.version == step.after.version - 1) {
-        tools_.loop->after(RewriteAfter, [weak = weak_from_this(), account] {
-            if (const auto keeper = weak.lock()) {
-                keeper->writeStep(account);
+    AllotmentWrite &pending = *account->pendingWrite;
+    if (stored.version == pending.after.version - 1) {
+        tools_.loop->after(RetryDelay, [weak = weak_from_this(), account] {
+            if (const auto limiter = weak.lock()) {
+                limiter->sendWrite(account);
             }
         });
         return;
     }
     account->item = stored;
-    const std::string &nonce = step.after.holders[tools_.instance].nonce;
+    const std::string &nonce = pending.after.holders[tools_.instance].nonce;
     const auto own = stored.holders.find(tools_.instance);
-    // A VM that finds itself forgotten assumes the worse: not taken, but given back.
-    const bool tookEffect = own == stored.holders.end() ? step.amount < 0 : own->second.nonce == nonce;
-    endStep(account, tookEffect);
+    // If this VM's entry was removed, it assumes the worse outcome: money was not taken, but was returned.
+    const bool tookEffect = own == stored.holders.end() ? pending.amount < 0 : own->second.nonce == nonce;
+    finishWrite(account, tookEffect);
 }
 
-void SpendingLimiter::endStep(const AccountPtr &account, bool tookEffect)
+void SpendingLimiter::finishWrite(const AccountPtr &account, bool tookEffect)
 {
-    const Micros amount = account->step->amount;
-    if (tookEffect && account->step->after.boundVersion >= account->boundVersion) {
-        account->needsStamp = false;
+    const Micros amount = account->pendingWrite->amount;
+    if (tookEffect && account->pendingWrite->after.boundVersion >= account->boundVersion) {
+        account->mustPublishBound = false;
     }
-    account->giveBack = account->giveBack && !(tookEffect && amount <= 0);
-    account->step.reset();
+    account->shouldReturn = account->shouldReturn && !(tookEffect && amount <= 0);
+    account->pendingWrite.reset();
     if (tookEffect) {
         account->held += std::max<Micros>(amount, 0);
         account->exhaustedUntil = TimePoint();
     } else {
         account->held -= std::min<Micros>(amount, 0);
     }
-    next(account);
+    advance(account);
 }
 
 void SpendingLimiter::onTableDown(const AccountPtr &account)
 {
     account->downUntil = tools_.loop->now() + TableBackoff;
     account->isKnown = false;
-    account->giveBack = false;
+    account->shouldReturn = false;
     for (const auto &reply : std::exchange(account->releaseReplies, {})) {
         reply(std::string());
     }
@@ -169,20 +169,20 @@
         if (!self) {
             return;
         }
-        if (account->step && account->step->inDoubt && !account->isReading) {
-            self->resolve(account);
+        if (account->pendingWrite && account->pendingWrite->inDoubt && !account->isReading) {
+            self->resolveWrite(account);
             return;
         }
-        account->giveBack = self->draining_;
-        self->next(account);
+        account->shouldReturn = self->draining_;
+        self->advance(account);
     });
 }
 
-void SpendingLimiter::forgetDayBefore(const AccountKey &today)
+void SpendingLimiter::deleteOldItem(const AccountKey &today)
 {
     table::Write write;
     write.kind = table::WriteKind::Delete;
-    write.item.key = keyOf({today.customer, today.day - DaysKept});
+    write.item.key = itemKey({today.customer, today.day - DaysKept});
     tools_.table->write(std::move(write), [](const table::WriteResult &) {});
 }
 
--- a/src/spending/internal/spendingrules.cpp
+++ b/src/spending/internal/spendingrules.cpp
@@ -9,22 +9,22 @@
 namespace {
 
 constexpr Micros MicrosPerCent = 10000;
-constexpr std::int64_t TokensPerPrice = 1000000;
-constexpr std::int64_t CallsPerPrice = 1000;
+constexpr std::int64_t TokensPerPriceUnit = 1000000;
+constexpr std::int64_t CallsPerPriceUnit = 1000;
 constexpr std::int64_t ChunkSeconds = 1800;
-constexpr std::int64_t LargestChunkShare = 16; ///< Of what is left, with few holders: one holder leaves 15/16 to the others.
-constexpr std::int64_t SmallestChunkShare = 2048; ///< Of the bound: keeps writes few while little is known.
-constexpr std::size_t MostHolders = 512;
+constexpr std::int64_t MaxChunkDivisor = 16; ///< A chunk is at most 1/16 of what is left: with few holders, one leaves 15/16 to the others.
+constexpr std::int64_t MinChunkDivisor = 2048; ///< At least 1/2048 of the bound, while enough is left: keeps writes rare before the spending rate is known.
+constexpr std::size_t MaxHolders = 512;
 
 constexpr char KeyPrefix[] = "spend#";
 constexpr char SortKey[] = "allotted";
 
-constexpr char HolderEnd = ';';
-constexpr char FieldEnd = ',';
+constexpr char HolderSeparator = ';';
+constexpr char FieldSeparator = ',';
 
-Micros priced(std::int64_t amount, std::int64_t cents, std::int64_t perPrice)
+Micros cost(std::int64_t amount, std::int64_t cents, std::int64_t perPriceUnit)
 {
-    return (amount * cents * MicrosPerCent + perPrice - 1) / perPrice;
+    return (amount * cents * MicrosPerCent + perPriceUnit - 1) / perPriceUnit;
 }
 
 template<class Number>
@@ -36,22 +36,22 @@
 }
 
 // "instance,nonce,1;instance,nonce,0;"
-std::string writeHolders(const std::map<std::string, Holder> &holders)
+std::string formatHolders(const std::map<std::string, Holder> &holders)
 {
     std::string text;
     for (const auto &[instance, holder] : holders) {
-        text += instance + FieldEnd + holder.nonce + FieldEnd + (holder.mayHold ? '1' : '0') + HolderEnd;
+        text += instance + FieldSeparator + holder.nonce + FieldSeparator + (holder.mayHold ? '1' : '0') + HolderSeparator;
     }
     return text;
 }
 
-std::map<std::string, Holder> readHolders(std::string_view text)
+std::map<std::string, Holder> parseHolders(std::string_view text)
 {
     std::map<std::string, Holder> holders;
     while (!text.empty()) {
-        const std::string_view entry = text.substr(0, text.find(HolderEnd));
-        const auto first = entry.find(FieldEnd);
-        const auto second = entry.rfind(FieldEnd);
+        const std::string_view entry = text.substr(0, text.find(HolderSeparator));
+        const auto first = entry.find(FieldSeparator);
+        const auto second = entry.rfind(FieldSeparator);
         if (first != std::string_view::npos && second > first) {
             Holder &holder = holders[std::string(entry.substr(0, first))];
             holder.nonce = entry.substr(first + 1, second - first - 1);
@@ -81,28 +81,28 @@
 
 Micros tokenCost(const contract::Spending &spending, std::int64_t tokens)
 {
-    return priced(tokens, spending.centsPerMillionTokens, TokensPerPrice);
+    return cost(tokens, spending.centsPerMillionTokens, TokensPerPriceUnit);
 }
 
 Micros callCost(const contract::Spending &spending, std::int64_t calls)
 {
-    return priced(calls, spending.centsPerThousandCalls, CallsPerPrice);
+    return cost(calls, spending.centsPerThousandCalls, CallsPerPriceUnit);
 }
 
-Micros chunkToTake(const ChunkQuestion &question)
+Micros chunkSize(const ChunkInputs &inputs)
 {
-    const Micros left = question.bound - question.allotted;
-    if (left < question.need || left <= 0) {
+    const Micros remaining = inputs.bound - inputs.allotted;
+    if (remaining < inputs.need || remaining <= 0) {
         return 0;
     }
-    const Micros wanted = std::max(question.perSecond * ChunkSeconds, question.bound / SmallestChunkShare);
-    const Micros largest = left / std::max(LargestChunkShare, 2 * question.holders);
+    const Micros wanted = std::max(inputs.perSecond * ChunkSeconds, inputs.bound / MinChunkDivisor);
+    const Micros largest = remaining / std::max(MaxChunkDivisor, 2 * inputs.holders);
     const Micros chunk = std::min(wanted, largest);
-    const bool isWorthAWrite = question.need > 0 || chunk >= question.bound / SmallestChunkShare;
-    return isWorthAWrite ? std::max(question.need, chunk) : 0;
+    const bool isWorthAWrite = inputs.need > 0 || chunk >= inputs.bound / MinChunkDivisor;
+    return isWorthAWrite ? std::max(inputs.need, chunk) : 0;
 }
 
-table::Key keyOf(const AccountKey &account)
+table::Key itemKey(const AccountKey &account)
 {
     return {KeyPrefix + account.customer + "#" + std::to_string(account.day), SortKey};
 }
@@ -110,33 +110,33 @@
 table::Item toTableItem(const AccountKey &account, const AllotmentItem &allotment)
 {
     table::Item item;
-    item.key = keyOf(account);
+    item.key = itemKey(account);
     item.attributes["version"] = std::to_string(allotment.version);
     item.attributes["allotted"] = std::to_string(allotment.allotted);
     item.attributes["boundVersion"] = std::to_string(allotment.boundVersion);
     item.attributes["bound"] = std::to_string(allotment.bound);
-    item.attributes["holders"] = writeHolders(allotment.holders);
+    item.attributes["holders"] = formatHolders(allotment.holders);
     return item;
 }
 
 std::optional<AllotmentItem> fromTableItem(const table::Item &item)
 {
     AllotmentItem allotment;
-    const bool isWhole = readNumber(item, "version", allotment.version) && readNumber(item, "allotted", allotment.allotted)
+    const bool isComplete = readNumber(item, "version", allotment.version) && readNumber(item, "allotted", allotment.allotted)
         && readNumber(item, "boundVersion", allotment.boundVersion) && readNumber(item, "bound", allotment.bound);
-    if (!isWhole) {
+    if (!isComplete) {
         return std::nullopt;
     }
-    allotment.holders = readHolders(table::attribute(item, "holders"));
+    allotment.holders = parseHolders(table::attribute(item, "holders"));
     return allotment;
 }
 
 void setHolder(AllotmentItem &allotment, const std::string &instance, Holder holder)
 {
-    if (allotment.holders.size() >= MostHolders) {
+    if (allotment.holders.size() >= MaxHolders) {
         std::erase_if(allotment.holders, [](const auto &entry) { return !entry.second.mayHold; });
     }
-    if (allotment.holders.size() < MostHolders || allotment.holders.contains(instance)) {
+    if (allotment.holders.size() < MaxHolders || allotment.holders.contains(instance)) {
         allotment.holders[instance] = std::move(holder);
     }
 }
--- a/src/spending/spendingmodule.cpp
+++ b/src/spending/spendingmodule.cpp
@@ -31,11 +31,11 @@
         tools.members = context.get<membership::Members>();
         tools.peers = context.get<peers::PeerTransport>();
         tools.metrics = context.get<metrics::Metrics>();
-        auto keeper = SpendingLimiter::create(std::move(tools));
+        auto limiter = SpendingLimiter::create(std::move(tools));
         auto lifecycle = context.get<lifecycle::Lifecycle>();
-        lifecycle->onDrain([keeper] { keeper->drain(); });
-        lifecycle->addProbe("spending", [keeper] { return keeper->openReturns(); });
-        context.set(keeper);
+        lifecycle->onDrain([limiter] { limiter->drain(); });
+        lifecycle->addProbe("spending", [limiter] { return limiter->pendingReturns(); });
+        context.set(limiter);
         return success();
     }
 };
--- a/src/spending/spendingrules.h
+++ b/src/spending/spendingrules.h
@@ -18,18 +18,18 @@
 Micros tokenCost(const contract::Spending &spending, std::int64_t tokens);
 Micros callCost(const contract::Spending &spending, std::int64_t calls);
 
-/// How much to take from the table: for half an hour of this VM's spending, so that writes stay few and an outage of the
-/// table is survived, but never so much that other VMs starve, and less and less towards the bound. 0: the bound leaves
-/// no room for the need, or without a need too little to be worth a write.
-Micros chunkToTake(const ChunkQuestion &question);
+/// How much to take from the table: enough for half an hour of this VM's spending, so that writes are rare and an outage of
+/// the table can be bridged, but only a small share of what is left, so that other VMs are not starved. The chunks shrink
+/// towards the bound. 0: the bound leaves no room for the need, or, without a need, too little for a write to pay off.
+Micros chunkSize(const ChunkInputs &inputs);
 
-table::Key keyOf(const AccountKey &account);
+table::Key itemKey(const AccountKey &account);
 table::Item toTableItem(const AccountKey &account, const AllotmentItem &allotment);
-/// Empty if an attribute is missing or is no number.
+/// Empty if an attribute is missing or is not a number.
 std::optional<AllotmentItem> fromTableItem(const table::Item &item);
 
-/// Puts @p holder in place; the VMs that hold nothing are forgotten first when there are too many. Forgetting is safe:
-/// a VM that finds itself forgotten assumes the worse of the two for a write in doubt.
+/// Sets the entry of @p instance. When there are too many holders, the entries of VMs that hold nothing are removed first.
+/// That is safe: a VM whose entry is missing assumes the worse of the two outcomes for a write in doubt.
 void setHolder(AllotmentItem &allotment, const std::string &instance, Holder holder);
 
 } // namespace cardamomlift::spending
--- a/src/spending/spendingtypes.h
+++ b/src/spending/spendingtypes.h
@@ -11,7 +11,7 @@
 /// Money in millionths of the currency. Integers only: sums must be exact.
 using Micros = std::int64_t;
 
-/// One customer on one UTC day: what a spending bound is about.
+/// One customer on one UTC day: what a daily spending bound applies to.
 struct AccountKey {
     std::string customer;
     std::int64_t day = 0; ///< Whole days since 1970-01-01 UTC.
@@ -19,41 +19,41 @@
     auto operator<=>(const AccountKey &) const = default;
 };
 
-/// What the table knows of one entry VM that took money.
+/// The table's record of one entry VM that has taken money.
 struct Holder {
-    std::string nonce; ///< Of its newest write in effect: settles a write whose answer was lost.
-    bool mayHold = false; ///< False once it gave all back.
+    std::string nonce; ///< Of its latest write in effect: shows whether a write whose answer was lost took effect.
+    bool mayHold = false; ///< False once it has returned everything.
 };
 
-/// The item of one account in the table: the only authority on how much of the day's bound is given out.
+/// The item of one account in the table: the only authority on how much of the daily bound is allotted.
 struct AllotmentItem {
     std::uint64_t version = 0; ///< 0: no item yet.
-    Micros allotted = 0; ///< Given out to VMs and not given back: spent, reserved, held or lost with its VM.
-    std::uint64_t boundVersion = 0; ///< Newest contract version that any VM has seen here.
+    Micros allotted = 0; ///< Taken by VMs and not returned: spent, reserved, held, or lost with a VM.
+    std::uint64_t boundVersion = 0; ///< Newest contract version known to any VM that wrote this item.
     Micros bound = 0; ///< The bound of that version.
     std::map<std::string, Holder> holders; ///< By instance.
 };
 
-/// What a VM weighs when it takes money ahead of need.
-struct ChunkQuestion {
+/// The inputs to the decision how much money a VM takes from the table.
+struct ChunkInputs {
     Micros bound = 0;
     Micros allotted = 0;
-    Micros need = 0; ///< Of the requests that wait, less what is held.
+    Micros need = 0; ///< Of the waiting requests, less what is held. 0: the money is taken ahead of need.
     Micros perSecond = 0; ///< Recent spending of this customer on this VM.
     std::int64_t holders = 0; ///< VMs that have taken money of this account.
 };
 
-/// Money set aside for one request, at its worst case.
+/// Money reserved for one request: the most that the request can cost.
 struct Reservation {
     AccountKey account;
     Micros micros = 0;
 };
 
-/// What became of a reservation.
+/// The outcome of an attempt to reserve money.
 enum class ReserveOutcome {
     Reserved,
-    BoundReached, ///< The day's bound leaves no room for the worst case of this request.
-    TableDown, ///< What this VM holds does not suffice, and the table can't be asked.
+    BoundReached, ///< The daily bound leaves no room for the most that this request can cost.
+    TableDown, ///< What this VM holds does not suffice, and the table is unavailable.
 };
 
 } // namespace cardamomlift::spending
