--- a/src/spending/tests/spendinglimiter_test.cpp
+++ b/src/spending/tests/spendinglimiter_test.cpp
@@ -22,19 +22,19 @@
         perDayCents);
 }
 
-/// One entry VM as far as spending needs it.
+/// The parts of an entry VM that a SpendingLimiter needs.
 struct TestVm {
     std::shared_ptr<table::MemoryTable> table;
     std::shared_ptr<contract::ContractSet> contracts = contract::ContractSet::create();
     std::shared_ptr<membership::Members> members;
     std::shared_ptr<peers::LocalTransport> transport;
-    std::shared_ptr<SpendingLimiter> keeper;
+    std::shared_ptr<SpendingLimiter> limiter;
     std::vector<Reservation> reserved;
     Micros spent = 0;
     std::map<ReserveOutcome, int> outcomes;
 };
 
-class SpendingFleet : public testing::Test
+class SpendingLimiterTest : public testing::Test
 {
 protected:
     void start(int vms, std::int64_t perDayCents)
@@ -50,7 +50,7 @@
             entry->members = membership::Members::create(vm.instance);
             entry->members->applyList(list);
             entry->transport = peers::LocalTransport::create(*loop_, network_, vm.instance);
-            entry->keeper = SpendingLimiter::create({loop_.get(), vm.instance, entry->table, entry->contracts, entry->members, entry->transport, nullptr});
+            entry->limiter = SpendingLimiter::create({loop_.get(), vm.instance, entry->table, entry->contracts, entry->members, entry->transport, nullptr});
         }
         putInForce(1, perDayCents);
     }
@@ -62,7 +62,7 @@
         }
     }
 
-    void pass(Duration time)
+    void advance(Duration time)
     {
         constexpr Duration Step = std::chrono::milliseconds(10);
         for (Duration passed{0}; passed < time; passed += Step) {
@@ -74,7 +74,7 @@
     void reserve(std::size_t index, Micros micros)
     {
         TestVm &vm = *vms_[index];
-        vm.keeper->reserve(*vm.contracts->find("shop"), micros, [&vm](const ReserveResult &result) {
+        vm.limiter->reserve(*vm.contracts->find("shop"), micros, [&vm](const ReserveResult &result) {
             vm.outcomes[result.outcome]++;
             if (result.outcome == ReserveOutcome::Reserved) {
                 vm.reserved.push_back(result.reservation);
@@ -92,10 +92,10 @@
         const Reservation reservation = vm.reserved.front();
         vm.reserved.erase(vm.reserved.begin());
         vm.spent += reservation.micros * percent / 100;
-        vm.keeper->settle(reservation, reservation.micros * percent / 100);
+        vm.limiter->settle(reservation, reservation.micros * percent / 100);
     }
 
-    /// What was spent and what requests that run now may still spend.
+    /// What was spent and what running requests may still spend.
     Micros committed() const
     {
         Micros sum = 0;
@@ -110,7 +110,7 @@
 
     AllotmentItem stored()
     {
-        const auto item = rows_->get(keyOf({"shop", dayOf(clock_.wallNow())}));
+        const auto item = rows_->get(itemKey({"shop", dayOf(clock_.wallNow())}));
         return item ? fromTableItem(*item).value_or(AllotmentItem()) : AllotmentItem();
     }
 
@@ -121,17 +121,17 @@
     std::vector<std::unique_ptr<TestVm>> vms_;
 };
 
-constexpr Duration Moment = std::chrono::milliseconds(100);
+constexpr Duration ShortTime = std::chrono::milliseconds(100);
 
 } // namespace
 
-TEST_F(SpendingFleet, OneVmMaySpendTheWholeBound)
+TEST_F(SpendingLimiterTest, OneVmMaySpendTheWholeBound)
 {
     start(3, 10);
     const Micros piece = 10 * MicrosPerCent / 100;
     for (int i = 0; i < 101; i++) {
         reserve(0, piece);
-        pass(Moment);
+        advance(ShortTime);
         settle(0, 100);
     }
     EXPECT_EQ(vms_[0]->outcomes[ReserveOutcome::Reserved], 100);
@@ -139,116 +139,116 @@
     EXPECT_EQ(committed(), 10 * MicrosPerCent);
 }
 
-TEST_F(SpendingFleet, MoneyHeldElsewhereIsGivenBackToTheVmInNeed)
+TEST_F(SpendingLimiterTest, MoneyHeldByOtherVmsIsReturnedOnRequest)
 {
     start(3, 10);
     const Micros piece = 10 * MicrosPerCent / 10;
     for (std::size_t i = 0; i < 3; i++) {
         reserve(i, piece * 2);
     }
-    pass(Moment);
+    advance(ShortTime);
     settle(0, 0);
     settle(1, 0);
     settle(2, 0);
-    // Now three VMs hold two tenths each, unspent; entry-2 has need of all.
+    // Now three VMs hold two tenths each, unspent; entry-2 needs all of it.
     for (int i = 0; i < 10; i++) {
         reserve(2, piece);
-        pass(Moment);
+        advance(ShortTime);
     }
     EXPECT_EQ(vms_[2]->outcomes[ReserveOutcome::Reserved], 11);
     EXPECT_EQ(committed(), 10 * MicrosPerCent);
 }
 
-TEST_F(SpendingFleet, WhatADeadVmHeldIsLostAndNeverSpentTwice)
+TEST_F(SpendingLimiterTest, MoneyOfACrashedVmIsLostAndNeverSpentTwice)
 {
     start(2, 10);
     reserve(0, 4 * MicrosPerCent);
-    pass(Moment);
+    advance(ShortTime);
     network_->cuts = {{"entry-0", "entry-1"}, {"entry-1", "entry-0"}};
     reserve(1, 7 * MicrosPerCent);
-    pass(std::chrono::seconds(2));
+    advance(std::chrono::seconds(2));
     EXPECT_EQ(vms_[1]->outcomes[ReserveOutcome::BoundReached], 1);
     reserve(1, 6 * MicrosPerCent);
-    pass(Moment);
+    advance(ShortTime);
     EXPECT_EQ(vms_[1]->outcomes[ReserveOutcome::Reserved], 1);
 }
 
-TEST_F(SpendingFleet, TableDownSpendsWhatIsHeldThenSaysSo)
+TEST_F(SpendingLimiterTest, TableDownIsReportedOnlyAfterHeldMoneyIsReserved)
 {
     start(1, 1000);
     reserve(0, 1000);
-    pass(Moment);
-    const Micros held = vms_[0]->keeper->view({"shop", dayOf(clock_.wallNow())}).held;
+    advance(ShortTime);
+    const Micros held = vms_[0]->limiter->view({"shop", dayOf(clock_.wallNow())}).held;
     ASSERT_GT(held, 0);
     vms_[0]->table->faults.down = true;
     reserve(0, held);
     reserve(0, 1000);
-    pass(Moment);
+    advance(ShortTime);
     EXPECT_EQ(vms_[0]->outcomes[ReserveOutcome::Reserved], 2);
     EXPECT_EQ(vms_[0]->outcomes[ReserveOutcome::TableDown], 1);
     vms_[0]->table->faults.down = false;
-    pass(std::chrono::seconds(1));
+    advance(std::chrono::seconds(1));
     reserve(0, 1000);
-    pass(Moment);
+    advance(ShortTime);
     EXPECT_EQ(vms_[0]->outcomes[ReserveOutcome::Reserved], 3);
 }
 
-TEST_F(SpendingFleet, LoweredBoundStopsWhatIsNotReserved)
+TEST_F(SpendingLimiterTest, LoweredBoundAppliesToUnreservedMoney)
 {
     start(2, 100);
     reserve(0, 40 * MicrosPerCent);
-    pass(Moment);
+    advance(ShortTime);
     settle(0, 0);
     reserve(0, 10 * MicrosPerCent);
     putInForce(2, 20);
-    // The ten cents are reserved and stay; of the thirty that are held only ten may be taken again.
+    // The ten cents are reserved and stay so; of the thirty cents that are held only ten may be reserved.
     reserve(0, 15 * MicrosPerCent);
-    pass(Moment);
+    advance(ShortTime);
     EXPECT_EQ(vms_[0]->outcomes[ReserveOutcome::BoundReached], 1);
     reserve(1, 10 * MicrosPerCent);
-    pass(Moment);
+    advance(ShortTime);
     EXPECT_EQ(vms_[1]->outcomes[ReserveOutcome::Reserved], 1);
     EXPECT_EQ(committed(), 20 * MicrosPerCent);
 }
 
-TEST_F(SpendingFleet, DrainedAndIdleVmsGiveBackAll)
+TEST_F(SpendingLimiterTest, DrainedAndIdleVmsReturnAllMoney)
 {
     start(2, 100);
     reserve(0, MicrosPerCent);
     reserve(1, MicrosPerCent);
-    pass(Moment);
+    advance(ShortTime);
     settle(0, 50);
-    vms_[0]->keeper->drain();
-    pass(Moment);
-    EXPECT_EQ(vms_[0]->keeper->openReturns(), 0U);
+    vms_[0]->limiter->drain();
+    advance(ShortTime);
+    EXPECT_EQ(vms_[0]->limiter->pendingReturns(), 0U);
     settle(1, 100);
-    pass(std::chrono::seconds(150));
+    advance(std::chrono::seconds(150));
     EXPECT_EQ(stored().allotted, MicrosPerCent * 3 / 2);
     EXPECT_FALSE(stored().holders["entry-0"].mayHold);
 }
 
-TEST_F(SpendingFleet, ADaysMoneyEndsWithIt)
+TEST_F(SpendingLimiterTest, UnspentMoneyExpiresWithTheDay)
 {
     start(1, 10);
     reserve(0, 6 * MicrosPerCent);
-    pass(Moment);
+    advance(ShortTime);
     clock_.advance(std::chrono::hours(24));
     reserve(0, 10 * MicrosPerCent);
-    pass(Moment);
+    advance(ShortTime);
     EXPECT_EQ(vms_[0]->outcomes[ReserveOutcome::Reserved], 2);
     settle(0, 50);
     reserve(0, MicrosPerCent);
-    pass(Moment);
+    advance(ShortTime);
     EXPECT_EQ(vms_[0]->outcomes[ReserveOutcome::BoundReached], 1) << "yesterday's rest must not be spent today";
 }
 
-TEST_F(SpendingFleet, TableWritesStayFew)
+TEST_F(SpendingLimiterTest, TableWritesAreRare)
 {
     start(2, 100000);
     const std::uint64_t requests = 6000;
     for (std::uint64_t i = 0; i < requests; i++) {
         reserve(i % 2, 1000);
-        pass(std::chrono::milliseconds(10));
+        advance(std::chrono::milliseconds(10));
         settle(i % 2, 60);
     }
     std::uint64_t writes = 0;
@@ -260,12 +260,12 @@
     EXPECT_LE(writes, 12U) << "for " << requests << " requests in a minute";
 }
 
-TEST_F(SpendingFleet, AnOutageOfTheTableIsSurvivedOnWhatIsHeld)
+TEST_F(SpendingLimiterTest, HeldMoneyBridgesATableOutage)
 {
     start(1, 100000);
     const auto oneSecond = [this] {
         reserve(0, 1000);
-        pass(std::chrono::seconds(1));
+        advance(std::chrono::seconds(1));
         settle(0, 100);
     };
     for (int i = 0; i < 60; i++) {
--- a/src/spending/tests/spendingmodel_test.cpp
+++ b/src/spending/tests/spendingmodel_test.cpp
@@ -9,8 +9,8 @@
 #include <array>
 #include <cmath>
 
-// An exhaustive walk: every sequence of a few steps and faults over two entry VMs. Whatever happens, what was spent and
-// what running requests may still spend stays within the bound.
+// Runs every sequence of a few steps and faults on two entry VMs. After each step, what was spent and what running requests
+// may still spend must stay within the bound.
 
 using namespace cardamomlift;
 using namespace cardamomlift::spending;
@@ -31,11 +31,11 @@
     return contract;
 }
 
-/// A table whose answers may be lost, and whose writes may take effect long after their answer was lost.
-class LateTable : public table::Table
+/// A table that may lose answers, and whose writes may take effect long after they were reported as Unknown.
+class FaultyTable : public table::Table
 {
 public:
-    LateTable(EventLoop &loop, std::shared_ptr<table::MemoryRows> rows)
+    FaultyTable(EventLoop &loop, std::shared_ptr<table::MemoryRows> rows)
         : loop_(loop)
         , rows_(std::move(rows))
     {
@@ -62,13 +62,13 @@
                 handler({table::WriteOutcome::NotWritten, {}, "down"});
                 return;
             }
-            if (late) {
-                lateWrites_.push_back(write);
+            if (delayWrites) {
+                delayedWrites_.push_back(write);
                 handler({table::WriteOutcome::Unknown, {}, "late"});
                 return;
             }
             const table::WriteResult result = rows_->transact({&write, 1}, {});
-            handler(lose ? table::WriteResult{table::WriteOutcome::Unknown, {}, "lost"} : result);
+            handler(loseAnswers ? table::WriteResult{table::WriteOutcome::Unknown, {}, "lost"} : result);
         });
     }
     void transact(std::vector<table::Write> writes, std::string, table::WriteHandler handler) override
@@ -79,54 +79,69 @@
     {
         return counters_;
     }
-    void applyLate()
+    void applyDelayedWrites()
     {
-        for (const table::Write &write : std::exchange(lateWrites_, {})) {
+        for (const table::Write &write : std::exchange(delayedWrites_, {})) {
             rows_->transact({&write, 1}, {});
         }
     }
 
     bool down = false;
-    bool lose = false;
-    bool late = false;
+    bool loseAnswers = false;
+    bool delayWrites = false;
 
 private:
     EventLoop &loop_;
     std::shared_ptr<table::MemoryRows> rows_;
-    std::vector<table::Write> lateWrites_;
+    std::vector<table::Write> delayedWrites_;
     table::TableCounters counters_;
 };
 
-enum class Event { ReserveA, ReserveB, ReserveHalfRun, SettleA, SettleB, GiveBackA, Down, Lose, Late, LateArrives, Pass, KillA, Lower, Count };
+enum class Event {
+    ReserveA,
+    ReserveB,
+    ReserveInFlight,
+    SettleA,
+    SettleB,
+    DrainA,
+    TableDown,
+    LoseAnswers,
+    DelayWrites,
+    ApplyDelayedWrites,
+    TimePasses,
+    CrashA,
+    LowerBound,
+    Count
+};
 
 struct Vm {
-    std::unique_ptr<LateTable> table;
-    std::shared_ptr<SpendingLimiter> keeper;
+    std::unique_ptr<FaultyTable> table;
+    std::shared_ptr<SpendingLimiter> limiter;
     std::vector<Reservation> open;
-    Micros lost = 0; ///< Reserved by requests of a VM that died: what they used is not known, so all of it counts.
+    Micros lostInCrash = 0; ///< Reserved by requests of a VM that crashed: what they spent is not known, so all of it counts as spent.
 };
 
-class Walk
+class Scenario
 {
 public:
-    Walk(EventLoop &loop, ManualClock &clock)
+    Scenario(EventLoop &loop, ManualClock &clock)
         : loop_(loop)
         , clock_(clock)
     {
-        // NOTE A walk must not run over midnight: the next day has a bound of its own.
+        // NOTE A scenario must not run past midnight: the next day has a bound of its own.
         if (untilNextDay(clock_.wallNow()) < std::chrono::minutes(1)) {
             clock_.advance(std::chrono::minutes(1));
         }
         for (std::size_t i = 0; i < vms_.size(); i++) {
-            vms_[i].table = std::make_unique<LateTable>(loop_, rows_);
+            vms_[i].table = std::make_unique<FaultyTable>(loop_, rows_);
             startVm(i, fmt::format("entry-{}", i));
         }
     }
 
-    ~Walk()
+    ~Scenario()
     {
         for (Vm &vm : vms_) {
-            vm.keeper.reset();
+            vm.limiter.reset();
         }
         clock_.advance(std::chrono::seconds(5));
         loop_.runDue();
@@ -142,8 +157,8 @@
         case Event::ReserveB:
             reserve(1, 3 * MicrosPerCent);
             break;
-        case Event::ReserveHalfRun:
-            // The table's answer is still under way when the next event comes.
+        case Event::ReserveInFlight:
+            // The table's answer is still pending when the next event comes.
             reserve(0, 2 * MicrosPerCent);
             return;
         case Event::SettleA:
@@ -152,44 +167,44 @@
         case Event::SettleB:
             settle(1);
             break;
-        case Event::GiveBackA:
-            vms_[0].keeper->drain();
+        case Event::DrainA:
+            vms_[0].limiter->drain();
             break;
-        case Event::Down:
+        case Event::TableDown:
             vms_[0].table->down = !vms_[0].table->down;
             break;
-        case Event::Lose:
-            vms_[0].table->lose = !vms_[0].table->lose;
+        case Event::LoseAnswers:
+            vms_[0].table->loseAnswers = !vms_[0].table->loseAnswers;
             break;
-        case Event::Late:
-            vms_[0].table->late = !vms_[0].table->late;
+        case Event::DelayWrites:
+            vms_[0].table->delayWrites = !vms_[0].table->delayWrites;
             break;
-        case Event::LateArrives:
-            vms_[0].table->applyLate();
+        case Event::ApplyDelayedWrites:
+            vms_[0].table->applyDelayedWrites();
             break;
-        case Event::Pass:
+        case Event::TimePasses:
             clock_.advance(std::chrono::milliseconds(600));
             break;
-        case Event::KillA:
+        case Event::CrashA:
             for (const Reservation &reservation : std::exchange(vms_[0].open, {})) {
-                vms_[0].lost += reservation.micros;
+                vms_[0].lostInCrash += reservation.micros;
             }
-            startVm(0, fmt::format("entry-0-{}", ++lives_));
+            startVm(0, fmt::format("entry-0-{}", ++restarts_));
             break;
-        case Event::Lower:
+        case Event::LowerBound:
             lower();
             break;
         case Event::Count:
             break;
         }
-        settleDown();
+        runLoop();
     }
 
     Micros committed() const
     {
         Micros sum = spent_;
         for (const Vm &vm : vms_) {
-            sum += vm.lost;
+            sum += vm.lostInCrash;
             for (const Reservation &reservation : vm.open) {
                 sum += reservation.micros;
             }
@@ -197,58 +212,58 @@
         return sum;
     }
 
-    /// The highest sum that is right now: after the bound was lowered, what was committed then may stay.
+    /// The highest sum permitted now: after the bound was lowered, what was committed at that time may stay.
     Micros allowed() const
     {
         return std::max(committedAtLower_, bound_ * MicrosPerCent);
     }
 
-    /// All faults end; then one VM spends what nobody has committed or holds.
-    void spendRest()
+    /// Ends all faults; then one VM reserves all that is neither committed nor held by the other.
+    void spendRemainder()
     {
         for (Vm &vm : vms_) {
-            vm.table->down = vm.table->lose = vm.table->late = false;
-            vm.table->applyLate();
+            vm.table->down = vm.table->loseAnswers = vm.table->delayWrites = false;
+            vm.table->applyDelayedWrites();
         }
         for (int i = 0; i < 4; i++) {
             clock_.advance(std::chrono::milliseconds(600));
-            settleDown();
+            runLoop();
         }
         for (int i = 0; i < 16; i++) {
             reserve(1, Piece);
-            settleDown();
+            runLoop();
         }
     }
 
-    /// Money of the bound that is neither committed nor held by a VM that runs.
-    Micros missing() const
+    /// The part of the bound that is neither committed nor held by a running VM.
+    Micros unaccounted() const
     {
         Micros sum = bound_ * MicrosPerCent - committed();
         for (const Vm &vm : vms_) {
-            sum -= vm.keeper->view({"shop", dayOf(clock_.wallNow())}).held;
+            sum -= vm.limiter->view({"shop", dayOf(clock_.wallNow())}).held;
         }
         return sum;
     }
 
-    bool hasKilled() const
+    bool hasCrashed() const
     {
-        return lives_ > 0;
+        return restarts_ > 0;
     }
 
 private:
     void startVm(std::size_t index, const std::string &instance)
     {
         contracts_[index] = contract::ContractSet::create();
-        vms_[index].keeper =
+        vms_[index].limiter =
             SpendingLimiter::create({&loop_, instance, std::shared_ptr<table::Table>(vms_[index].table.get(), [](auto *) {}), contracts_[index]});
     }
     void reserve(std::size_t index, Micros micros)
     {
         Vm &vm = vms_[index];
-        // A request that a dead VM had not yet let in never runs.
-        const std::weak_ptr<SpendingLimiter> keeper = vm.keeper;
-        vm.keeper->reserve(*contract_, micros, [&vm, keeper](const ReserveResult &result) {
-            if (result.outcome == ReserveOutcome::Reserved && keeper.lock() == vm.keeper) {
+        // A request that a crashed VM had not admitted yet never runs.
+        const std::weak_ptr<SpendingLimiter> limiter = vm.limiter;
+        vm.limiter->reserve(*contract_, micros, [&vm, limiter](const ReserveResult &result) {
+            if (result.outcome == ReserveOutcome::Reserved && limiter.lock() == vm.limiter) {
                 vm.open.push_back(result.reservation);
             }
         });
@@ -262,7 +277,7 @@
         const Reservation reservation = vm.open.back();
         vm.open.pop_back();
         spent_ += reservation.micros / 3;
-        vm.keeper->settle(reservation, reservation.micros / 3);
+        vm.limiter->settle(reservation, reservation.micros / 3);
     }
     void lower()
     {
@@ -284,7 +299,7 @@
             "spending": {{"perDayCents": {}, "centsPerMillionTokens": 100, "centsPerThousandCalls": 1}}}})",
             LoweredCents);
     }
-    void settleDown()
+    void runLoop()
     {
         constexpr int Rounds = 6;
         for (int i = 0; i < Rounds; i++) {
@@ -302,13 +317,13 @@
     std::int64_t bound_ = BoundCents;
     Micros committedAtLower_ = 0;
     Micros spent_ = 0;
-    int lives_ = 0;
+    int restarts_ = 0;
 };
 
-constexpr int Length = 4;
-constexpr int Events = static_cast<int>(Event::Count);
+constexpr int SequenceLength = 4;
+constexpr int EventKinds = static_cast<int>(Event::Count);
 
-std::string describe(const std::array<Event, Length> &sequence)
+std::string describe(const std::array<Event, SequenceLength> &sequence)
 {
     std::string text;
     for (const Event event : sequence) {
@@ -319,33 +334,33 @@
 
 } // namespace
 
-TEST(SpendingWalk, NoSequenceOfStepsAndFaultsPassesTheBound)
+TEST(SpendingModel, NoSequenceOfStepsAndFaultsPassesTheBound)
 {
     setLogLevel("error");
     ManualClock clock;
     const auto loop = std::move(EventLoop::create(clock).value());
-    std::array<Event, Length> sequence{};
-    const int all = static_cast<int>(std::pow(Events, Length));
+    std::array<Event, SequenceLength> sequence{};
+    const int all = static_cast<int>(std::pow(EventKinds, SequenceLength));
     for (int number = 0; number < all * 2; number++) {
         int rest = number / 2;
         for (Event &event : sequence) {
-            event = static_cast<Event>(rest % Events);
-            rest /= Events;
+            event = static_cast<Event>(rest % EventKinds);
+            rest /= EventKinds;
         }
-        Walk walk(*loop, clock);
+        Scenario scenario(*loop, clock);
         if (number % 2 == 1) {
-            // From a start at which entry-0 holds money that no request needs.
-            walk.apply(Event::ReserveA);
-            walk.apply(Event::SettleA);
+            // Start from a state in which entry-0 holds money that no request needs.
+            scenario.apply(Event::ReserveA);
+            scenario.apply(Event::SettleA);
         }
         for (const Event event : sequence) {
-            walk.apply(event);
-            ASSERT_LE(walk.committed(), walk.allowed()) << describe(sequence);
+            scenario.apply(event);
+            ASSERT_LE(scenario.committed(), scenario.allowed()) << describe(sequence);
         }
-        walk.spendRest();
-        ASSERT_LE(walk.committed(), walk.allowed()) << "at the end of " << describe(sequence);
-        if (!walk.hasKilled()) {
-            ASSERT_LT(walk.missing(), Piece) << "money is lost though no VM died: " << describe(sequence);
+        scenario.spendRemainder();
+        ASSERT_LE(scenario.committed(), scenario.allowed()) << "at the end of " << describe(sequence);
+        if (!scenario.hasCrashed()) {
+            ASSERT_LT(scenario.unaccounted(), Piece) << "money is lost though no VM crashed: " << describe(sequence);
         }
     }
     setLogLevel("info");
