--- a/src/spending/internal/spendingaccount.h
+++ b/src/spending/internal/spendingaccount.h
@@ -34,7 +34,7 @@
     Micros spent = 0;
     AllotmentItem item;
     bool isKnown = false; ///< item was read or written by this VM; it may be out of date.
-    bool isFresh = false; ///< item was read since the latest request started to wait.
+    bool isFresh = false; ///< A read of item has ended since the latest request started to wait.
     bool isReading = false;
     std::optional<AllotmentWrite> pendingWrite;
     std::list<Waiting> waiting;
@@ -43,8 +43,8 @@
     std::vector<peers::Reply> releaseReplies;
     std::set<std::string> askedHolders;
     std::size_t pendingAsks = 0;
-    TimePoint askedHoldersSince;
-    TimePoint downUntil;
+    TimePoint askPeriodStart;
+    TimePoint tableDownUntil;
     TimePoint exhaustedUntil;
     Micros exhaustedFrom = 0; ///< Until exhaustedUntil, requests of this size and more are refused at once.
     TimePoint nextTakeAhead;
--- a/src/spending/internal/spendinglimiter.cpp
+++ b/src/spending/internal/spendinglimiter.cpp
@@ -134,7 +134,7 @@
         handler({ReserveOutcome::BoundReached, {}, account->reserved > 0 ? ExhaustedPeriod : untilNextDay(wallNow)});
         return;
     }
-    if (now < account->downUntil) {
+    if (now < account->tableDownUntil) {
         handler({ReserveOutcome::TableDown, {}, TableBackoff});
         return;
     }
@@ -174,7 +174,7 @@
         return;
     }
     serveWaiting(account);
-    if (tools_.loop->now() < account->downUntil) {
+    if (tools_.loop->now() < account->tableDownUntil) {
         return;
     }
     if (mustReturn(account)) {
@@ -289,9 +289,9 @@
         return false;
     }
     const TimePoint now = tools_.loop->now();
-    if (now - account->askedHoldersSince >= ExhaustedPeriod) {
+    if (now - account->askPeriodStart >= ExhaustedPeriod) {
         account->askedHolders.clear();
-        account->askedHoldersSince = now;
+        account->askPeriodStart = now;
     }
     std::vector<membership::Vm> targets;
     for (const auto &[instance, holder] : account->item.holders) {
@@ -347,7 +347,7 @@
     const TimePoint now = tools_.loop->now();
     return static_cast<std::size_t>(std::count_if(accounts_.begin(), accounts_.end(), [now](const auto &entry) {
         const Account &account = *entry.second;
-        return account.pendingWrite && account.pendingWrite->amount < 0 && now >= account.downUntil;
+        return account.pendingWrite && account.pendingWrite->amount < 0 && now >= account.tableDownUntil;
     }));
 }
 
--- a/src/spending/internal/spendinglimitertable.cpp
+++ b/src/spending/internal/spendinglimitertable.cpp
@@ -156,7 +156,7 @@
 
 void SpendingLimiter::onTableDown(const AccountPtr &account)
 {
-    account->downUntil = tools_.loop->now() + TableBackoff;
+    account->tableDownUntil = tools_.loop->now() + TableBackoff;
     account->isKnown = false;
     account->shouldReturn = false;
     for (const auto &reply : std::exchange(account->releaseReplies, {})) {
