--- a/src/recovery/internal/recoveringstream.h
+++ b/src/recovery/internal/recoveringstream.h
@@ -100,7 +100,7 @@
     std::uint64_t nextConnection_ = 1;
     std::int64_t promptTokens_ = 0;
     std::int64_t maxTokens_ = 0; ///< 0 if unknown.
-    RecoveryMethod moveMethod_ = RecoveryMethod::Recompute;
+    RecoveryMethod moveMethod_ = RecoveryMethod::Recompute; ///< Of the move in preparation.
     int failedMoves_ = 0; ///< Since the stream last switched to a successor.
     Duration betweenTokens_{0};
     TimePoint lastProgressAt_{};
--- a/src/recovery/tests/recoverydecision_test.cpp
+++ b/src/recovery/tests/recoverydecision_test.cpp
@@ -54,7 +54,7 @@
 {
     const RecoveryPlan plan = planRecovery(inputsOfLeavingServer());
     EXPECT_EQ(plan.method, RecoveryMethod::MoveKv);
-    // 2200 tokens * 4096 bytes take 90 ms, in which 3 tokens are made.
+    // 2200 tokens * 4096 bytes take 90 ms, in which 3 tokens are produced.
     EXPECT_EQ(plan.costs[static_cast<std::size_t>(RecoveryMethod::MoveKv)].recomputedTokens, 3);
     EXPECT_EQ(plan.costs[static_cast<std::size_t>(RecoveryMethod::Recompute)].recomputedTokens, 2200);
 }
--- a/src/streams/internal/streamregistry.cpp
+++ b/src/streams/internal/streamregistry.cpp
@@ -315,8 +315,8 @@
     std::size_t count = 0;
     for (const auto &[id, entry] : entries_) {
         const membership::Vm *owner = tools_.session.members->find(entry->owner);
-        const bool isOwnerThere = owner && !tools_.session.members->isLeaving(entry->owner);
-        if (entry->session || !isOwnerThere) {
+        const bool isOwnerAvailable = owner && !tools_.session.members->isLeaving(entry->owner);
+        if (entry->session || !isOwnerAvailable) {
             handOverEntry(entry);
             count++;
         }
--- a/src/streams/internal/streamregistryentry.h
+++ b/src/streams/internal/streamregistryentry.h
@@ -16,7 +16,7 @@
     std::string owner;
     std::vector<std::string> copyHolders; ///< VMs that hold a copy of this session.
     std::size_t bytes = 0; ///< Size of the copy.
-    TimePoint roleSince; ///< When this VM became the owner, or received the copy, or handed the request over.
+    TimePoint roleSince; ///< When this VM became the owner, received the copy or handed the request over.
     TimePoint copiedAt; ///< When a copy was last sent to another VM.
     TimePoint detachedAt;
     std::optional<TimePoint> endedAt;
--- a/src/streams/internal/streamsession.cpp
+++ b/src/streams/internal/streamsession.cpp
@@ -145,7 +145,7 @@
         end();
         return;
     }
-    // Its caller may have received a part of the answer already.
+    // The caller may have received a part of the answer already, so the request counts as accepted.
     record_.accepted = true;
     if (state_.attempts.empty()) {
         startNextAttempt();
--- a/src/streams/tests/handovermodel_test.cpp
+++ b/src/streams/tests/handovermodel_test.cpp
@@ -399,6 +399,6 @@
     StateExplorer explorer;
     explorer.run();
     RecordProperty("worlds", static_cast<int>(explorer.stateCount()));
-    // Fails if a change makes the search trivial.
+    // The search is exhaustive; this fails if a change makes it trivial.
     EXPECT_GT(explorer.stateCount(), 10000U);
 }
