--- a/src/fleet/cloudformat.h
+++ b/src/fleet/cloudformat.h
@@ -8,9 +8,10 @@
 
 namespace cardamomlift::fleet {
 
-/// An instance resource: name, zone, machineType, status, scheduling.provisioningModel, labels.
+/// Writes an instance resource: name, zone, machineType, status, scheduling.provisioningModel, labels.
 Json::Value instanceToJson(const FleetVm &vm);
-/// Empty if a member is missing. The offer holds what the resource tells; price and speed come from the offers.
+/// Reads an instance resource; empty if its name, zone or machine type is missing. The resource carries no price and no
+/// throughput: these fields of the VM's offer stay 0 until they are filled in from the list of offers.
 std::optional<FleetVm> instanceFromJson(const Json::Value &json);
 
 Json::Value offerToJson(const Offer &offer);
--- a/src/fleet/demand.h
+++ b/src/fleet/demand.h
@@ -10,25 +10,25 @@
 
 namespace cardamomlift::fleet {
 
-/// Counts the tokens this VM's callers were given, by model, over the time since the last report.
+/// Counts the tokens generated for this VM's callers, by model, since the last report.
 class DemandMeter
 {
 public:
     void add(const std::string &model, std::int64_t tokens, bool isUrgent);
-    /// Tokens per second since the last call; starts counting anew.
+    /// Returns the rates in tokens per second since the last call, and resets the counts.
     std::vector<ModelDemand> take(TimePoint now);
 
 private:
-    std::map<std::string, ModelDemand> counts_;
+    std::map<std::string, ModelDemand> counts_; ///< Tokens counted so far; not rates yet.
     TimePoint since_;
 };
 
-/// The reports of all entry VMs, as the VM that orders backend VMs holds them.
-class DemandBoard
+/// Sums up the demand reports of all entry VMs. Used on the VM that holds the fleet lease.
+class DemandAggregator
 {
 public:
     void report(const std::string &instance, std::vector<ModelDemand> demands, TimePoint now);
-    /// The sum of the reports not older than @p maxAge; older ones are forgotten.
+    /// The sum of the reports not older than @p maxAge; older ones are discarded.
     std::vector<ModelDemand> sum(TimePoint now, Duration maxAge);
 
 private:
@@ -40,7 +40,7 @@
 };
 
 std::string encodeDemands(const std::vector<ModelDemand> &demands);
-/// Empty if the bytes can't be read.
+/// Empty if @p bytes can't be parsed.
 std::vector<ModelDemand> decodeDemands(std::string_view bytes);
 
 } // namespace cardamomlift::fleet
--- a/src/fleet/fleetlease.h
+++ b/src/fleet/fleetlease.h
@@ -10,20 +10,20 @@
 
 namespace cardamomlift::fleet {
 
-/// Keeps or waits for the lease of the one VM that orders backend VMs: a row of the platform's table.
+/// Acquires and renews the fleet lease, a row of the platform's table. The one VM that holds it orders backend VMs.
 class FleetLease
 {
 public:
-    static std::shared_ptr<FleetLease> create(EventLoop &loop, std::shared_ptr<table::Table> table, std::string self, Duration lease);
+    static std::shared_ptr<FleetLease> create(EventLoop &loop, std::shared_ptr<table::Table> table, std::string self, Duration leaseDuration);
 
     void start();
-    /// A VM that is no candidate neither reads nor writes the row; a holder goes on renewing.
+    /// A VM that is not a candidate neither reads nor writes the row, unless it holds the lease: a holder keeps renewing it.
     void setCandidate(bool candidate);
-    /// True if this VM may give orders now. Ask right before each.
+    /// True if this VM may send orders now. Check right before each order.
     bool isHeld() const;
-    /// The number that goes with each order; 0 if not held.
+    /// The fencing token to send with each order; 0 if the lease is not held.
     std::uint64_t fence() const;
-    /// Gives the lease back, for a VM that drains.
+    /// Stops using and renewing the lease, for a VM that is draining. The row stays, so that the lease expires for the others.
     void release();
 
 private:
@@ -34,8 +34,8 @@
     EventLoop *loop_ = nullptr;
     std::shared_ptr<table::Table> table_;
     std::string self_;
-    Duration lease_{0};
-    LeaseKnowledge knowledge_;
+    Duration leaseDuration_{0};
+    LeaseView leaseView_;
     bool busy_ = false;
     bool released_ = false;
     bool candidate_ = true;
--- a/src/fleet/fleetmodule.cpp
+++ b/src/fleet/fleetmodule.cpp
@@ -1,5 +1,5 @@
 #include "fleet/demand.h"
-#include "fleet/fleetkeeper.h"
+#include "fleet/fleetcontroller.h"
 #include "http/json.h"
 #include "kernel/module.h"
 #include "kernel/runtime.h"
@@ -19,29 +19,29 @@
 
 namespace {
 
-constexpr Duration LeaseTime = std::chrono::seconds(9);
-constexpr Duration StepPeriod = std::chrono::seconds(2);
+constexpr Duration LeaseDuration = std::chrono::seconds(9);
+constexpr Duration ReconcilePeriod = std::chrono::seconds(2);
 constexpr Duration DemandPeriod = std::chrono::seconds(5);
 constexpr Duration DemandMaxAge = std::chrono::seconds(20);
 constexpr Duration OrderTimeout = std::chrono::seconds(5);
-/// So many entry VMs stand for the lease; the others cost the table nothing.
-constexpr std::size_t Candidates = 5;
+/// Number of entry VMs that compete for the lease. The others do not access its row, which limits the load on the table.
+constexpr std::size_t MaxCandidates = 5;
 constexpr char HolderTopic[] = "fleet.holder";
 constexpr char HolderKey[] = "holder";
 constexpr char DemandTopic[] = "fleet.demand";
 constexpr Duration HolderRumourTtl = std::chrono::minutes(2);
 
-/// True if @p self is among the first entry VMs by hash.
+/// True if this VM is among the MaxCandidates live entry VMs with the lowest hash, and not leaving.
 bool isCandidate(const membership::Members &members)
 {
     const std::uint64_t own = text::stableHash(members.self());
     const auto peers = members.peers();
     const auto before = std::count_if(
         peers.begin(), peers.end(), [&](const membership::Vm &vm) { return vm.state == membership::VmState::Live && text::stableHash(vm.instance) < own; });
-    return static_cast<std::size_t>(before) < Candidates && !members.isLeaving(members.self());
+    return static_cast<std::size_t>(before) < MaxCandidates && !members.isLeaving(members.self());
 }
 
-/// Tells the holder what this VM's callers use, and collects the reports while this VM is the holder.
+/// Sends this VM's demand to the lease holder, and collects the reports of all entry VMs while this VM is the holder.
 class DemandExchange
 {
 public:
@@ -53,7 +53,7 @@
         , meter_(std::move(meter))
     {
         transport_->handle(DemandTopic, [this](const std::string &from, const std::string &payload, const peers::Reply &reply) {
-            board_.report(from, decodeDemands(payload), loop_->now());
+            aggregator_.report(from, decodeDemands(payload), loop_->now());
             reply(std::string());
         });
         loop_->every(DemandPeriod, [this] { send(); });
@@ -66,7 +66,7 @@
 
     std::vector<ModelDemand> sum()
     {
-        return board_.sum(loop_->now(), DemandMaxAge);
+        return aggregator_.sum(loop_->now(), DemandMaxAge);
     }
 
 private:
@@ -78,7 +78,7 @@
             return;
         }
         if (holder->payload == members_->self()) {
-            board_.report(members_->self(), demands, loop_->now());
+            aggregator_.report(members_->self(), demands, loop_->now());
             return;
         }
         if (const membership::Vm *vm = members_->find(holder->payload)) {
@@ -91,7 +91,7 @@
     std::shared_ptr<membership::Gossip> gossip_;
     std::shared_ptr<peers::PeerTransport> transport_;
     std::shared_ptr<DemandMeter> meter_;
-    DemandBoard board_;
+    DemandAggregator aggregator_;
 };
 
 void orderEngine(const membership::Members &members, http::Client &client, const EngineOrder &order)
@@ -140,8 +140,8 @@
         const auto members = context.get<membership::Members>();
         const auto client = context.get<http::Client>();
         exchange_ = std::make_unique<DemandExchange>(context, meter_);
-        lease_ = FleetLease::create(loop, context.get<table::Table>(), settings->instance, LeaseTime);
-        KeeperTools tools;
+        lease_ = FleetLease::create(loop, context.get<table::Table>(), settings->instance, LeaseDuration);
+        FleetControllerTools tools;
         tools.loop = &loop;
         tools.lease = lease_;
         tools.cloud = CloudClient::create(client, settings->platform.cloudEndpoint);
@@ -151,10 +151,10 @@
         tools.orderEngine = [members, client](const EngineOrder &order) {
             orderEngine(*members, *client, order);
         };
-        keeper_ = FleetKeeper::create(std::move(tools), FleetPolicy());
+        controller_ = FleetController::create(std::move(tools), FleetPolicy());
         lease_->start();
-        keeper_->start(StepPeriod);
-        loop.every(StepPeriod, [this, members] {
+        controller_->start(ReconcilePeriod);
+        loop.every(ReconcilePeriod, [this, members] {
             lease_->setCandidate(isCandidate(*members));
             if (lease_->isHeld()) {
                 exchange_->announceHolder(lease_->fence());
@@ -169,15 +169,15 @@
     void addGauges(metrics::Metrics &metrics)
     {
         metrics.gauge("fleet_lease_held", [this] { return lease_->isHeld() ? 1.0 : 0.0; });
-        metrics.gauge("fleet_vms_ordered_total", [this] { return static_cast<double>(keeper_->counters().created); });
-        metrics.gauge("fleet_vms_refused_total", [this] { return static_cast<double>(keeper_->counters().refused); });
-        metrics.gauge("fleet_vms_given_back_total", [this] { return static_cast<double>(keeper_->counters().deleted); });
+        metrics.gauge("fleet_vms_ordered_total", [this] { return static_cast<double>(controller_->counters().created); });
+        metrics.gauge("fleet_vms_refused_total", [this] { return static_cast<double>(controller_->counters().refused); });
+        metrics.gauge("fleet_vms_given_back_total", [this] { return static_cast<double>(controller_->counters().deleted); });
     }
 
     std::shared_ptr<DemandMeter> meter_;
     std::unique_ptr<DemandExchange> exchange_;
     std::shared_ptr<FleetLease> lease_;
-    std::shared_ptr<FleetKeeper> keeper_;
+    std::shared_ptr<FleetController> controller_;
 };
 
 const ModuleRegistration<FleetModule> Registration;
--- a/src/fleet/fleettypes.h
+++ b/src/fleet/fleettypes.h
@@ -8,30 +8,30 @@
 
 namespace cardamomlift::fleet {
 
-/// A kind of VM the cloud sells: one machine class in one zone, reclaimable or on demand.
+/// A kind of VM that the cloud offers: one machine class in one zone, reclaimable or on demand.
 struct Offer {
     std::string zone;
     std::string machineClass;
     bool reclaimable = true;
     std::int64_t microsPerHour = 0; ///< Price, in millionths of the currency.
-    std::int64_t tokensPerSecond = 0; ///< What one such VM generates at the latency target.
+    std::int64_t tokensPerSecond = 0; ///< Throughput of one such VM at the latency target.
 };
 
-/// What one model is asked for, over all entry VMs.
+/// Demand for one model, at one entry VM or summed over all.
 struct ModelDemand {
     std::string model;
-    std::int64_t urgentTokensPerSecond = 0; ///< Of classes with priority urgent.
+    std::int64_t urgentTokensPerSecond = 0; ///< Demand of service classes with priority "urgent".
     std::int64_t totalTokensPerSecond = 0;
 };
 
-/// Where a backend VM stands in its life.
+/// Lifecycle state of a backend VM.
 enum class FleetVmState {
-    Starting, ///< Ordered; it loads its weights.
+    Starting, ///< Ordered, or loading its model weights.
     Live,
-    Leaving, ///< Counts for nothing: it can be gone any second.
+    Leaving, ///< Not counted as capacity: it can stop at any moment.
 };
 
-/// A backend VM as the cloud lists it.
+/// A backend VM as listed by the cloud.
 struct FleetVm {
     std::string name;
     std::string model;
@@ -39,7 +39,7 @@
     FleetVmState state = FleetVmState::Live;
 };
 
-/// An offer the cloud refused, not to be asked for again until a time.
+/// An offer that the cloud refused. It is not ordered again before @c until.
 struct RefusedOffer {
     std::string zone;
     std::string machineClass;
@@ -47,7 +47,7 @@
     TimePoint until;
 };
 
-/// All that planFleet() looks at.
+/// The input of planFleet().
 struct FleetView {
     std::vector<Offer> offers;
     std::vector<ModelDemand> demands;
@@ -56,11 +56,11 @@
     TimePoint now;
 };
 
-/// Fixed bounds of the plan; nothing an operator tunes.
+/// Constants of the planning; not configurable.
 struct FleetPolicy {
-    std::int64_t headroomPercent = 20; ///< Over the total demand.
-    std::int64_t shrinkPercent = 15; ///< What must stay above the need after a VM is given back, against swinging.
-    std::size_t mostStarting = 8; ///< VMs that load weights at once: the weight store is rate-limited.
+    std::int64_t headroomPercent = 20; ///< Capacity to keep above the total demand.
+    std::int64_t shrinkMarginPercent = 15; ///< Demand margin that must still be covered after a delete; prevents oscillation.
+    std::size_t maxStarting = 8; ///< VMs that may load weights at the same time: the weight store is rate-limited.
 };
 
 enum class FleetOrderKind { Create, Delete };
@@ -69,11 +69,11 @@
 struct FleetOrder {
     FleetOrderKind kind = FleetOrderKind::Create;
     std::string model;
-    Offer offer; ///< Of a Create.
-    std::string name; ///< Of a Delete.
+    Offer offer; ///< For a Create.
+    std::string name; ///< For a Delete.
 };
 
-/// The order that the engine on a VM is to run a model, with the number that makes a late one recognisable.
+/// Orders the engine on a VM to run a model. The fencing token lets the engine reject orders of an earlier lease holder.
 struct EngineOrder {
     std::string instance;
     std::string model;
--- a/src/fleet/internal/cloudclient.cpp
+++ b/src/fleet/internal/cloudclient.cpp
@@ -12,18 +12,18 @@
 constexpr Duration CallTimeout = std::chrono::seconds(5);
 constexpr char ProjectPath[] = "/compute/v1/projects/cardamomlift";
 
-Error readFailure(const http::ClientResult &result)
+Error listFailure(const http::ClientResult &result)
 {
-    return failure(ErrorKind::Unavailable, fmt::format("the cloud did not answer: status {} {}", result.status, result.error));
+    return failure(ErrorKind::Unavailable, fmt::format("could not read a list from the cloud API: status {} {}", result.status, result.error));
 }
 
-/// Reads each entry of member @p name by @p readOne; entries that can't be read are left out.
+/// Reads each entry of the array @p name with @p readOne; skips entries that can't be read.
 template<class Entry, class ReadOne>
 Result<std::vector<Entry>> readEntries(const http::ClientResult &result, const char *name, ReadOne readOne)
 {
     const auto json = result.status == 200 ? http::parseJson(result.body) : std::nullopt;
     if (result.transport != http::Transport::Completed || !json || !json->isObject()) {
-        return readFailure(result);
+        return listFailure(result);
     }
     std::vector<Entry> entries;
     const Json::Value &list = (*json)[name];
@@ -35,17 +35,17 @@
     return entries;
 }
 
-CloudAnswer orderAnswer(const http::ClientResult &result)
+CloudOrderOutcome orderOutcome(const http::ClientResult &result)
 {
     if (result.transport == http::Transport::NotSent) {
-        return CloudAnswer::Refused;
+        return CloudOrderOutcome::Refused;
     }
     if (result.transport != http::Transport::Completed || result.status >= 500) {
-        return CloudAnswer::Unknown;
+        return CloudOrderOutcome::Unknown;
     }
-    // 409: an order of this name was taken before; 404: what is to be deleted is gone.
+    // 409: an earlier order with this name was accepted; 404: the VM to delete no longer exists.
     const bool isDone = result.status < 300 || result.status == 409 || result.status == 404;
-    return isDone ? CloudAnswer::Done : CloudAnswer::Refused;
+    return isDone ? CloudOrderOutcome::Done : CloudOrderOutcome::Refused;
 }
 
 } // namespace
@@ -85,22 +85,22 @@
     client_->start(request("GET", "/aggregated/offers"), std::move(hooks));
 }
 
-void CloudClient::create(const CreateOrder &order, std::function<void(CloudAnswer)> handler)
+void CloudClient::create(const CreateOrder &order, std::function<void(CloudOrderOutcome)> handler)
 {
     http::ClientRequest http = request("POST", fmt::format("/zones/{}/instances?requestId={}", order.offer.zone, order.name));
     http.body = http::writeJson(instanceToJson({order.name, order.model, order.offer, FleetVmState::Starting}));
     http::ClientHooks hooks;
     hooks.onDone = [handler = std::move(handler)](const http::ClientResult &result) {
-        handler(orderAnswer(result));
+        handler(orderOutcome(result));
     };
     client_->start(std::move(http), std::move(hooks));
 }
 
-void CloudClient::remove(const FleetVm &vm, std::function<void(CloudAnswer)> handler)
+void CloudClient::remove(const FleetVm &vm, std::function<void(CloudOrderOutcome)> handler)
 {
     http::ClientHooks hooks;
     hooks.onDone = [handler = std::move(handler)](const http::ClientResult &result) {
-        handler(orderAnswer(result));
+        handler(orderOutcome(result));
     };
     client_->start(request("DELETE", fmt::format("/zones/{}/instances/{}", vm.offer.zone, vm.name)), std::move(hooks));
 }
--- a/src/fleet/internal/cloudformat.cpp
+++ b/src/fleet/internal/cloudformat.cpp
@@ -10,7 +10,7 @@
 constexpr char Running[] = "RUNNING";
 constexpr char Stopping[] = "STOPPING";
 
-const char *statusOf(FleetVmState state)
+const char *statusFromState(FleetVmState state)
 {
     switch (state) {
     case FleetVmState::Starting:
@@ -23,7 +23,7 @@
     return Stopping;
 }
 
-FleetVmState stateOf(const std::string &status)
+FleetVmState stateFromStatus(const std::string &status)
 {
     if (status == Running) {
         return FleetVmState::Live;
@@ -39,7 +39,7 @@
     json["name"] = vm.name;
     json["zone"] = vm.offer.zone;
     json["machineType"] = vm.offer.machineClass;
-    json["status"] = statusOf(vm.state);
+    json["status"] = statusFromState(vm.state);
     json["scheduling"]["provisioningModel"] = vm.offer.reclaimable ? Spot : Standard;
     json["labels"]["model"] = vm.model;
     return json;
@@ -56,7 +56,7 @@
     vm.offer.machineClass = json["machineType"].asString();
     vm.offer.reclaimable = json["scheduling"].get("provisioningModel", "").asString() == Spot;
     vm.model = json["labels"].get("model", "").asString();
-    vm.state = stateOf(json.get("status", "").asString());
+    vm.state = stateFromStatus(json.get("status", "").asString());
     return vm;
 }
 
--- a/src/fleet/internal/demand.cpp
+++ b/src/fleet/internal/demand.cpp
@@ -36,12 +36,12 @@
     return demands;
 }
 
-void DemandBoard::report(const std::string &instance, std::vector<ModelDemand> demands, TimePoint now)
+void DemandAggregator::report(const std::string &instance, std::vector<ModelDemand> demands, TimePoint now)
 {
     reports_[instance] = {std::move(demands), now};
 }
 
-std::vector<ModelDemand> DemandBoard::sum(TimePoint now, Duration maxAge)
+std::vector<ModelDemand> DemandAggregator::sum(TimePoint now, Duration maxAge)
 {
     std::erase_if(reports_, [&](const auto &entry) { return now - entry.second.at > maxAge; });
     std::map<std::string, ModelDemand> sums;
--- a/src/fleet/internal/fleetlease.cpp
+++ b/src/fleet/internal/fleetlease.cpp
@@ -11,10 +11,10 @@
 constexpr char Sort[] = "lease";
 constexpr char Nonce[] = "nonce";
 constexpr std::size_t NonceBytes = 8;
-/// A holder renews, and the others look, three times a lease.
-constexpr int StepsPerLease = 3;
-/// Orders stop so long before the lease ends, for their own way to the cloud.
-constexpr int MarginPart = 6;
+/// The holder renews the row, and the other candidates read it, three times per lease duration.
+constexpr int RenewalsPerLease = 3;
+/// No orders are sent in the last sixth of the lease: an order needs time to reach the cloud before the lease expires.
+constexpr int MarginDivisor = 6;
 
 LeaseRow rowOf(const table::Item &item)
 {
@@ -33,20 +33,20 @@
 
 } // namespace
 
-std::shared_ptr<FleetLease> FleetLease::create(EventLoop &loop, std::shared_ptr<table::Table> table, std::string self, Duration lease)
+std::shared_ptr<FleetLease> FleetLease::create(EventLoop &loop, std::shared_ptr<table::Table> table, std::string self, Duration leaseDuration)
 {
     std::shared_ptr<FleetLease> result(new FleetLease);
     result->loop_ = &loop;
     result->table_ = std::move(table);
     result->self_ = std::move(self);
-    result->lease_ = lease;
+    result->leaseDuration_ = leaseDuration;
     return result;
 }
 
 void FleetLease::start()
 {
     step();
-    loop_->every(lease_ / StepsPerLease, [this] { step(); });
+    loop_->every(leaseDuration_ / RenewalsPerLease, [this] { step(); });
 }
 
 void FleetLease::setCandidate(bool candidate)
@@ -56,12 +56,12 @@
 
 bool FleetLease::isHeld() const
 {
-    return !released_ && fleet::isHeld(knowledge_, loop_->now(), lease_ / MarginPart);
+    return !released_ && fleet::isHeld(leaseView_, loop_->now(), leaseDuration_ / MarginDivisor);
 }
 
 std::uint64_t FleetLease::fence() const
 {
-    return isHeld() ? knowledge_.heldFence : 0;
+    return isHeld() ? leaseView_.heldFence : 0;
 }
 
 void FleetLease::release()
@@ -75,7 +75,7 @@
         return;
     }
     busy_ = true;
-    if (knowledge_.seen && decideLease(knowledge_, self_, loop_->now(), lease_) == LeaseAction::Renew) {
+    if (leaseView_.seen && decideLease(leaseView_, self_, loop_->now(), leaseDuration_) == LeaseAction::Renew) {
         write();
         return;
     }
@@ -89,8 +89,8 @@
             busy_ = false;
             return;
         }
-        noteRow(knowledge_, item.value() ? std::optional(rowOf(*item.value())) : std::nullopt, loop_->now());
-        if (decideLease(knowledge_, self_, loop_->now(), lease_) == LeaseAction::Take) {
+        observeRow(leaseView_, item.value() ? std::optional(rowOf(*item.value())) : std::nullopt, loop_->now());
+        if (decideLease(leaseView_, self_, loop_->now(), leaseDuration_) == LeaseAction::Take) {
             write();
             return;
         }
@@ -100,29 +100,29 @@
 
 void FleetLease::write()
 {
-    const bool renews = decideLease(knowledge_, self_, loop_->now(), lease_) == LeaseAction::Renew;
-    const std::uint64_t seenFence = knowledge_.seen ? knowledge_.seen->fence : 0;
+    const bool renews = decideLease(leaseView_, self_, loop_->now(), leaseDuration_) == LeaseAction::Renew;
+    const std::uint64_t seenFence = leaseView_.seen ? leaseView_.seen->fence : 0;
     const LeaseRow row{self_, renews ? seenFence : seenFence + 1, text::randomHex(NonceBytes)};
     table::Write write;
     write.item = itemOf(row);
     write.condition.kind = table::ConditionKind::ItemAbsent;
-    if (knowledge_.seen) {
-        write.condition = {table::ConditionKind::AttributeEquals, Nonce, knowledge_.seen->nonce};
+    if (leaseView_.seen) {
+        write.condition = {table::ConditionKind::AttributeEquals, Nonce, leaseView_.seen->nonce};
     }
     const TimePoint sentAt = loop_->now();
     table_->write(std::move(write), [this, row, sentAt, renews](const table::WriteResult &result) {
         busy_ = false;
         if (result.outcome == table::WriteOutcome::Written) {
-            noteWritten(knowledge_, row, sentAt, lease_);
+            recordWrite(leaseView_, row, sentAt, leaseDuration_);
             if (!renews) {
-                partLogger("fleet")->info("This VM orders backend VMs now. fence={}", row.fence);
+                partLogger("fleet")->info("Fleet lease acquired; this VM now orders backend VMs. fence={}", row.fence);
             }
             return;
         }
-        // An unknown outcome shows at the next reading: the row then has our nonce, but is not used as held, since
-        // nobody knows when it was written. It runs out like another VM's.
+        // If the outcome is unknown, the next read may show the row with our nonce. The lease is not used as held even
+        // then, as the time of the write is unknown; it expires like that of another VM.
         if (result.outcome != table::WriteOutcome::NotWritten) {
-            knowledge_.heldFence = 0;
+            leaseView_.heldFence = 0;
         }
     });
 }
--- a/src/fleet/internal/fleetplan.cpp
+++ b/src/fleet/internal/fleetplan.cpp
@@ -21,28 +21,28 @@
         view.refused.begin(), view.refused.end(), [&](const RefusedOffer &refused) { return isSameOffer(offer, refused) && refused.until > view.now; });
 }
 
-std::int64_t sumOf(const Deficit &deficit)
+std::int64_t combinedDeficit(const Deficit &deficit)
 {
     return deficit.total + deficit.afterZoneLoss;
 }
 
-FleetVm vmOf(const Offer &offer, const std::string &model)
+FleetVm plannedVm(const Offer &offer, const std::string &model)
 {
     return FleetVm{{}, model, offer, FleetVmState::Starting};
 }
 
-/// The offer that takes away most of the deficit for its price; none if nothing helps.
+/// The offer that reduces the deficit most for its price; empty if no offer reduces it.
 std::optional<Offer> bestOffer(const ModelDemand &demand, const FleetView &view, std::vector<FleetVm> &vms, const FleetPolicy &policy)
 {
-    const std::int64_t before = sumOf(deficitOf(demand, vms, policy));
+    const std::int64_t before = combinedDeficit(deficitOf(demand, vms, policy));
     std::optional<Offer> best;
     double bestGain = 0.0;
     for (const Offer &offer : view.offers) {
         if (isRefused(offer, view) || offer.microsPerHour <= 0) {
             continue;
         }
-        vms.push_back(vmOf(offer, demand.model));
-        const std::int64_t after = sumOf(deficitOf(demand, vms, policy));
+        vms.push_back(plannedVm(offer, demand.model));
+        const std::int64_t after = combinedDeficit(deficitOf(demand, vms, policy));
         vms.pop_back();
         const double gain = static_cast<double>(before - after) / static_cast<double>(offer.microsPerHour);
         if (gain > bestGain) {
@@ -53,52 +53,52 @@
     return best;
 }
 
-/// Adds creates for one model while @p isMissing holds and VMs may start.
-template<class IsMissing>
+/// Adds create orders for one model while @p needsMore is true for its deficit and @p startsLeft allows.
+template<class NeedsMore>
 void planCreates(const ModelDemand &demand,
     const FleetView &view,
     std::vector<FleetVm> &vms,
     const FleetPolicy &policy,
-    std::size_t &mayStart,
+    std::size_t &startsLeft,
     std::vector<FleetOrder> &orders,
-    IsMissing isMissing)
+    NeedsMore needsMore)
 {
-    while (mayStart > 0 && isMissing(deficitOf(demand, vms, policy))) {
+    while (startsLeft > 0 && needsMore(deficitOf(demand, vms, policy))) {
         const auto offer = bestOffer(demand, view, vms, policy);
         if (!offer) {
             return;
         }
         orders.push_back({FleetOrderKind::Create, demand.model, *offer, {}});
-        vms.push_back(vmOf(*offer, demand.model));
-        mayStart--;
+        vms.push_back(plannedVm(*offer, demand.model));
+        startsLeft--;
     }
 }
 
-/// True if the model has enough, with room against swinging, without VM number @p index.
+/// True if the model has enough capacity without VM number @p index, with the margin that prevents oscillation.
 bool canSpare(const ModelDemand &demand, const std::vector<FleetVm> &vms, std::size_t index, const FleetPolicy &policy)
 {
     std::vector<FleetVm> rest = vms;
     rest.erase(rest.begin() + static_cast<std::ptrdiff_t>(index));
-    ModelDemand more = demand;
-    more.totalTokensPerSecond += demand.totalTokensPerSecond * policy.shrinkPercent / Percent;
-    more.urgentTokensPerSecond += demand.urgentTokensPerSecond * policy.shrinkPercent / Percent;
-    return sumOf(deficitOf(more, rest, policy)) == 0;
+    ModelDemand demandWithMargin = demand;
+    demandWithMargin.totalTokensPerSecond += demand.totalTokensPerSecond * policy.shrinkMarginPercent / Percent;
+    demandWithMargin.urgentTokensPerSecond += demand.urgentTokensPerSecond * policy.shrinkMarginPercent / Percent;
+    return combinedDeficit(deficitOf(demandWithMargin, rest, policy)) == 0;
 }
 
 void planDelete(const ModelDemand &demand, const std::vector<FleetVm> &vms, const FleetPolicy &policy, std::vector<FleetOrder> &orders)
 {
-    const FleetVm *dearest = nullptr;
+    const FleetVm *mostExpensive = nullptr;
     for (std::size_t i = 0; i < vms.size(); i++) {
         const FleetVm &vm = vms[i];
         if (vm.model != demand.model || vm.state != FleetVmState::Live || !canSpare(demand, vms, i, policy)) {
             continue;
         }
-        if (!dearest || vm.offer.microsPerHour > dearest->offer.microsPerHour) {
-            dearest = &vm;
+        if (!mostExpensive || vm.offer.microsPerHour > mostExpensive->offer.microsPerHour) {
+            mostExpensive = &vm;
         }
     }
-    if (dearest) {
-        orders.push_back({FleetOrderKind::Delete, demand.model, {}, dearest->name});
+    if (mostExpensive) {
+        orders.push_back({FleetOrderKind::Delete, demand.model, {}, mostExpensive->name});
     }
 }
 
@@ -119,22 +119,23 @@
     for (const auto &[zone, tokens] : byZone) {
         largestZone = std::max(largestZone, tokens);
     }
-    const std::int64_t wanted = demand.totalTokensPerSecond + demand.totalTokensPerSecond * policy.headroomPercent / Percent;
-    return {std::max<std::int64_t>(0, wanted - total), std::max<std::int64_t>(0, demand.urgentTokensPerSecond - (total - largestZone))};
+    const std::int64_t required = demand.totalTokensPerSecond + demand.totalTokensPerSecond * policy.headroomPercent / Percent;
+    return {std::max<std::int64_t>(0, required - total), std::max<std::int64_t>(0, demand.urgentTokensPerSecond - (total - largestZone))};
 }
 
 std::vector<FleetOrder> planFleet(const FleetView &view, const FleetPolicy &policy)
 {
     std::vector<FleetVm> vms = view.vms;
     const auto starting = static_cast<std::size_t>(std::count_if(vms.begin(), vms.end(), [](const FleetVm &vm) { return vm.state == FleetVmState::Starting; }));
-    std::size_t mayStart = policy.mostStarting > starting ? policy.mostStarting - starting : 0;
+    std::size_t startsLeft = policy.maxStarting > starting ? policy.maxStarting - starting : 0;
     std::vector<FleetOrder> orders;
-    // NOTE Urgent work of all models first: with few starts to give, a deferrable model must not use them up.
+    // NOTE The urgent demand of all models comes first: the number of starts is limited, and deferrable demand must not use
+    // them up.
     for (const ModelDemand &demand : view.demands) {
-        planCreates(demand, view, vms, policy, mayStart, orders, [](const Deficit &deficit) { return deficit.afterZoneLoss > 0; });
+        planCreates(demand, view, vms, policy, startsLeft, orders, [](const Deficit &deficit) { return deficit.afterZoneLoss > 0; });
     }
     for (const ModelDemand &demand : view.demands) {
-        planCreates(demand, view, vms, policy, mayStart, orders, [](const Deficit &deficit) { return deficit.total > 0; });
+        planCreates(demand, view, vms, policy, startsLeft, orders, [](const Deficit &deficit) { return deficit.total > 0; });
     }
     if (!orders.empty()) {
         return orders;
--- a/src/fleet/internal/leasedecision.cpp
+++ b/src/fleet/internal/leasedecision.cpp
@@ -2,41 +2,41 @@
 
 namespace cardamomlift::fleet {
 
-LeaseAction decideLease(const LeaseKnowledge &knowledge, const std::string &self, TimePoint now, Duration lease)
+LeaseAction decideLease(const LeaseView &leaseView, const std::string &self, TimePoint now, Duration leaseDuration)
 {
-    if (!knowledge.seen) {
+    if (!leaseView.seen) {
         return LeaseAction::Take;
     }
-    const bool isOurs = knowledge.seen->holder == self && knowledge.seen->fence == knowledge.heldFence;
-    if (isOurs && now < knowledge.heldUntil) {
+    const bool isHolder = leaseView.seen->holder == self && leaseView.seen->fence == leaseView.heldFence;
+    if (isHolder && now < leaseView.heldUntil) {
         return LeaseAction::Renew;
     }
-    return now - knowledge.seenSince >= lease ? LeaseAction::Take : LeaseAction::Wait;
+    return now - leaseView.unchangedSince >= leaseDuration ? LeaseAction::Take : LeaseAction::Wait;
 }
 
-void noteRow(LeaseKnowledge &knowledge, const std::optional<LeaseRow> &row, TimePoint now)
+void observeRow(LeaseView &leaseView, const std::optional<LeaseRow> &row, TimePoint now)
 {
-    const bool isSame = knowledge.seen && row && knowledge.seen->nonce == row->nonce;
+    const bool isSame = leaseView.seen && row && leaseView.seen->nonce == row->nonce;
     if (!isSame) {
-        knowledge.seenSince = now;
+        leaseView.unchangedSince = now;
     }
-    knowledge.seen = row;
-    if (!row || row->fence != knowledge.heldFence) {
-        knowledge.heldFence = 0;
+    leaseView.seen = row;
+    if (!row || row->fence != leaseView.heldFence) {
+        leaseView.heldFence = 0;
     }
 }
 
-void noteWritten(LeaseKnowledge &knowledge, const LeaseRow &row, TimePoint sentAt, Duration lease)
+void recordWrite(LeaseView &leaseView, const LeaseRow &row, TimePoint sentAt, Duration leaseDuration)
 {
-    knowledge.seen = row;
-    knowledge.seenSince = sentAt;
-    knowledge.heldFence = row.fence;
-    knowledge.heldUntil = sentAt + lease;
+    leaseView.seen = row;
+    leaseView.unchangedSince = sentAt;
+    leaseView.heldFence = row.fence;
+    leaseView.heldUntil = sentAt + leaseDuration;
 }
 
-bool isHeld(const LeaseKnowledge &knowledge, TimePoint now, Duration margin)
+bool isHeld(const LeaseView &leaseView, TimePoint now, Duration margin)
 {
-    return knowledge.heldFence != 0 && now + margin < knowledge.heldUntil;
+    return leaseView.heldFence != 0 && now + margin < leaseView.heldUntil;
 }
 
 } // namespace cardamomlift::fleet
--- a/src/fleet/leasedecision.h
+++ b/src/fleet/leasedecision.h
@@ -8,38 +8,39 @@
 
 namespace cardamomlift::fleet {
 
-/// The lease as its row in the table says.
+/// The lease as stored in its table row.
 struct LeaseRow {
     std::string holder;
-    std::uint64_t fence = 0; ///< Rises with each new holder; goes with each order.
-    std::string nonce; ///< New with each renewal.
+    std::uint64_t fence = 0; ///< Fencing token: incremented when the lease is taken, and sent with each order.
+    std::string nonce; ///< Random; changes with each write of the row.
 };
 
-/// What one VM knows of the lease. Times are of its own clock: VMs' clocks need not agree.
-struct LeaseKnowledge {
+/// One VM's view of the lease. All times are of its own clock, so the VMs' clocks need not be synchronized.
+struct LeaseView {
     std::optional<LeaseRow> seen; ///< The row as last read.
-    TimePoint seenSince; ///< When this nonce was first seen here.
-    std::uint64_t heldFence = 0; ///< Of our own lease; 0: not the holder.
-    TimePoint heldUntil; ///< Our lease ends here unless renewed.
+    TimePoint unchangedSince; ///< When this VM first saw the current nonce.
+    std::uint64_t heldFence = 0; ///< Fencing token of our own lease; 0 if we are not the holder.
+    TimePoint heldUntil; ///< When our lease expires unless renewed.
 };
 
-/// What a VM does about the lease.
+/// Next step of a VM towards the lease.
 enum class LeaseAction {
-    Wait, ///< Another VM renews it.
-    Take, ///< Write ourselves as the holder, if the row is still as seen.
+    Wait, ///< Another VM may still hold it.
+    Take, ///< Write ourselves as the new holder, on condition that the row has not changed.
     Renew,
 };
 
-/// What to do at @p now. A row that stays the same for a whole lease is dead.
-LeaseAction decideLease(const LeaseKnowledge &knowledge, const std::string &self, TimePoint now, Duration lease);
+/// Decides what to do at @p now. A row that has not changed for a whole lease duration has expired and may be taken.
+LeaseAction decideLease(const LeaseView &leaseView, const std::string &self, TimePoint now, Duration leaseDuration);
 
-/// Takes over a reading of the row.
-void noteRow(LeaseKnowledge &knowledge, const std::optional<LeaseRow> &row, TimePoint now);
+/// Updates the view after the row was read.
+void observeRow(LeaseView &leaseView, const std::optional<LeaseRow> &row, TimePoint now);
 
-/// Our write of @p row, sent at @p sentAt, took effect. The lease counts from the sending, not from the answer.
-void noteWritten(LeaseKnowledge &knowledge, const LeaseRow &row, TimePoint sentAt, Duration lease);
+/// Updates the view after our write of @p row succeeded. The lease runs from @p sentAt, the time when the write was sent,
+/// not from its response.
+void recordWrite(LeaseView &leaseView, const LeaseRow &row, TimePoint sentAt, Duration leaseDuration);
 
-/// True if orders may be given: held, and not within @p margin of its end.
-bool isHeld(const LeaseKnowledge &knowledge, TimePoint now, Duration margin);
+/// True if orders may be sent: the lease is held and does not expire within @p margin.
+bool isHeld(const LeaseView &leaseView, TimePoint now, Duration margin);
 
 } // namespace cardamomlift::fleet
--- a/src/fleet/tests/fleet_test.cpp
+++ b/src/fleet/tests/fleet_test.cpp
@@ -1,4 +1,4 @@
-#include "fleet/fleetkeeper.h"
+#include "fleet/fleetcontroller.h"
 #include "fleet/fleetplan.h"
 #include "fleet/leasedecision.h"
 #include "table/memorytable.h"
@@ -14,7 +14,7 @@
 
 constexpr Duration Lease = std::chrono::seconds(9);
 
-/// Four zones with two prices each; on demand costs three times as much.
+/// Four zones with two offers each. On demand costs about three times as much as reclaimable.
 std::vector<Offer> fourZones()
 {
     std::vector<Offer> offers;
@@ -25,8 +25,8 @@
     return offers;
 }
 
-/// Puts the plan's orders into the view until there are none; the number of rounds is bounded.
-void settle(FleetView &view)
+/// Applies the planned orders to the view until there are none. Fails if there still are some after 100 rounds.
+void applyUntilStable(FleetView &view)
 {
     for (int round = 0; round < 100; round++) {
         const auto orders = planFleet(view, FleetPolicy());
@@ -41,17 +41,17 @@
             }
         }
     }
-    FAIL() << "the plan swings";
+    FAIL() << "the plan oscillates";
 }
 
-/// A cloud in memory, shared by the keepers of several VMs.
+/// An in-memory cloud, shared by the controllers of several entry VMs.
 struct FakeCloud : Cloud {
     EventLoop *loop = nullptr;
-    std::vector<Offer> sold = fourZones();
+    std::vector<Offer> available = fourZones();
     std::map<std::string, FleetVm> vms;
     bool loseAnswers = false;
-    std::vector<std::function<void()>> held; ///< Orders under way while hold is set.
-    bool hold = false;
+    std::vector<std::function<void()>> heldOrders; ///< Create orders received while holdOrders is set, not carried out yet.
+    bool holdOrders = false;
     int inserts = 0;
 
     void list(std::function<void(Result<std::vector<FleetVm>>)> handler) override
@@ -67,35 +67,35 @@
 
     void offers(std::function<void(Result<std::vector<Offer>>)> handler) override
     {
-        loop->post([this, handler] { handler(sold); });
+        loop->post([this, handler] { handler(available); });
     }
 
-    void create(const CreateOrder &order, std::function<void(CloudAnswer)> handler) override
+    void create(const CreateOrder &order, std::function<void(CloudOrderOutcome)> handler) override
     {
         auto run = [this, order, handler] {
             inserts += vms.contains(order.name) ? 0 : 1;
             vms[order.name] = {order.name, order.model, order.offer, FleetVmState::Live};
-            handler(loseAnswers ? CloudAnswer::Unknown : CloudAnswer::Done);
+            handler(loseAnswers ? CloudOrderOutcome::Unknown : CloudOrderOutcome::Done);
         };
-        if (hold) {
-            held.push_back(run);
+        if (holdOrders) {
+            heldOrders.push_back(run);
         } else {
             loop->post(run);
         }
     }
 
-    void remove(const FleetVm &vm, std::function<void(CloudAnswer)> handler) override
+    void remove(const FleetVm &vm, std::function<void(CloudOrderOutcome)> handler) override
     {
         loop->post([this, name = vm.name, handler] {
             vms.erase(name);
-            handler(CloudAnswer::Done);
+            handler(CloudOrderOutcome::Done);
         });
     }
 };
 
-/// Two entry VMs that stand for the lease, over one table and one cloud.
-struct TwoKeepers {
-    TwoKeepers()
+/// Two entry VMs that compete for the lease, with one table and one cloud.
+struct TwoEntryVms {
+    TwoEntryVms()
     {
         loop = std::move(EventLoop::create(clock).value());
         cloud->loop = loop.get();
@@ -103,7 +103,7 @@
         for (int i = 0; i < 2; i++) {
             tables[i] = table::MemoryTable::create(*loop, rows);
             leases[i] = FleetLease::create(*loop, tables[i], "entry-" + std::to_string(i), Lease);
-            KeeperTools tools{loop.get(),
+            FleetControllerTools tools{loop.get(),
                 leases[i],
                 cloud,
                 [] {
@@ -111,7 +111,7 @@
                 },
                 [](const EngineOrder &) {
                 }};
-            keepers[i] = FleetKeeper::create(tools, FleetPolicy());
+            controllers[i] = FleetController::create(tools, FleetPolicy());
             leases[i]->start();
         }
     }
@@ -121,8 +121,8 @@
         for (int i = 0; i < seconds; i++) {
             clock.advance(std::chrono::seconds(1));
             drain();
-            for (const int keeper : stepping) {
-                keepers[keeper]->step();
+            for (const int controller : stepping) {
+                controllers[controller]->reconcile();
             }
             drain();
         }
@@ -146,7 +146,7 @@
     std::shared_ptr<table::MemoryRows> rows;
     std::shared_ptr<table::MemoryTable> tables[2];
     std::shared_ptr<FleetLease> leases[2];
-    std::shared_ptr<FleetKeeper> keepers[2];
+    std::shared_ptr<FleetController> controllers[2];
 };
 
 } // namespace
@@ -154,7 +154,7 @@
 TEST(FleetPlan, UrgentDemandSurvivesTheLossOfAnyZone)
 {
     FleetView view{fourZones(), {{"m", 4000, 6000}}, {}, {}, {}};
-    settle(view);
+    applyUntilStable(view);
     for (const char *zone : {"zone-1", "zone-2", "zone-3", "zone-4"}) {
         std::int64_t left = 0;
         for (const FleetVm &vm : view.vms) {
@@ -179,32 +179,33 @@
     }
 }
 
-TEST(FleetPlan, FewStartsGoToUrgentWorkFirst)
+TEST(FleetPlan, LimitedStartsGoToUrgentDemandFirst)
 {
     FleetView view{fourZones(), {{"a-deferrable", 0, 50'000}, {"b-urgent", 4000, 4000}}, {}, {}, {}};
     const auto orders = planFleet(view, FleetPolicy());
-    ASSERT_EQ(orders.size(), FleetPolicy().mostStarting);
+    ASSERT_EQ(orders.size(), FleetPolicy().maxStarting);
     EXPECT_EQ(orders.front().model, "b-urgent");
     EXPECT_GE(std::count_if(orders.begin(), orders.end(), [](const FleetOrder &order) { return order.model == "b-urgent"; }), 5);
 }
 
-TEST(FleetLease, OneHolderAtEveryStepOfAPausedHolder)
+TEST(FleetLease, NeverTwoHoldersWhenAHolderIsPaused)
 {
-    // Every pause length of the first holder, in steps of half a second: never two that may order at once.
+    // Pauses the first holder for 0 to 30 s, in steps of half a second: there must never be two VMs that may send orders at
+    // the same time.
     for (int pause = 0; pause <= 60; pause++) {
-        LeaseKnowledge first;
-        LeaseKnowledge second;
+        LeaseView first;
+        LeaseView second;
         std::optional<LeaseRow> row;
         TimePoint now{};
-        const auto step = [&](LeaseKnowledge &knowledge, const std::string &self) {
-            noteRow(knowledge, row, now);
-            const LeaseAction action = decideLease(knowledge, self, now, Lease);
+        const auto step = [&](LeaseView &leaseView, const std::string &self) {
+            observeRow(leaseView, row, now);
+            const LeaseAction action = decideLease(leaseView, self, now, Lease);
             if (action == LeaseAction::Wait) {
                 return;
             }
             const std::uint64_t fence = (row ? row->fence : 0) + (action == LeaseAction::Take ? 1 : 0);
             row = LeaseRow{self, fence, self + std::to_string(now.time_since_epoch().count())};
-            noteWritten(knowledge, *row, now, Lease);
+            recordWrite(leaseView, *row, now, Lease);
         };
         step(first, "first");
         for (int i = 0; i < 120; i++) {
@@ -219,39 +220,39 @@
     }
 }
 
-TEST(FleetKeeper, LostAnswersBuyNothingTwice)
+TEST(FleetController, LostResponsesCreateNoVmTwice)
 {
-    TwoKeepers two;
+    TwoEntryVms two;
     two.cloud->loseAnswers = true;
     two.run(60, {0, 1});
-    // 3,000 tokens with headroom are 4 VMs; the lost answers have bought none beyond them.
+    // 3,000 tokens per second plus headroom need 4 VMs. The lost responses must not lead to more.
     EXPECT_EQ(two.cloud->vms.size(), 4U);
     EXPECT_EQ(two.cloud->inserts, 4);
 }
 
-TEST(FleetKeeper, LateOrderOfAPausedHolderIsUndone)
+TEST(FleetController, LateOrdersOfAPausedHolderAreReverted)
 {
-    TwoKeepers two;
+    TwoEntryVms two;
     two.run(2, {0, 1});
     const int old = two.holder();
     const int next = 1 - old;
-    two.cloud->hold = true;
+    two.cloud->holdOrders = true;
     two.run(6, {0, 1});
-    ASSERT_FALSE(two.cloud->held.empty());
-    // The holder is paused with its orders under way: its renewals stop too.
+    ASSERT_FALSE(two.cloud->heldOrders.empty());
+    // The holder is paused while its orders are pending, so its renewals stop too.
     two.tables[old]->faults.freeze = true;
-    two.cloud->hold = false;
+    two.cloud->holdOrders = false;
     two.run(40, {next});
     EXPECT_TRUE(two.leases[next]->isHeld());
     EXPECT_EQ(two.cloud->vms.size(), 4U);
-    for (const auto &order : two.cloud->held) {
+    for (const auto &order : two.cloud->heldOrders) {
         order();
     }
     EXPECT_EQ(two.cloud->vms.size(), 8U);
     two.tables[old]->faults.freeze = false;
     two.tables[old]->release();
     two.run(60, {0, 1});
-    // One above the plan stays, by the margin against swinging.
+    // One VM more than needed stays, because of the margin that prevents oscillation.
     EXPECT_EQ(two.cloud->vms.size(), 5U);
-    EXPECT_EQ(two.keepers[next]->counters().deleted, 3U);
+    EXPECT_EQ(two.controllers[next]->counters().deleted, 3U);
 }
