--- a/src/gateway/callererrors.h
+++ b/src/gateway/callererrors.h
@@ -8,24 +8,25 @@
 
 namespace cardamomlift::gateway {
 
-/// What the caller may rely on after an error; sent as the header "Cardamomlift-Outcome".
+/// What an error response guarantees about the execution of the request; sent in the header "Cardamomlift-Outcome".
 enum class ErrorOutcome {
-    NotRun, ///< Nothing was run for this request and nothing will be.
-    Unknown, ///< It may have run.
+    NotRun, ///< The request was not run and will not be.
+    Unknown, ///< The request may have run.
 };
 
-/// A refusal or failure as the caller gets it.
+/// A refusal or failure to be reported to the caller.
 struct CallerError {
     metrics::RefusalReason reason = metrics::RefusalReason::Overloaded;
     std::string message;
-    Duration retryAfter{0}; ///< When to come back; 0: a repeat does not help.
+    Duration retryAfter{0}; ///< When to retry; 0 if a retry does not help.
     ErrorOutcome outcome = ErrorOutcome::NotRun;
 };
 
 /// The HTTP status of a refusal.
 int statusOf(metrics::RefusalReason reason);
 
-/// {"error":{"message":…,"type":…,"code":…}} with Retry-After (whole seconds, rounded up) when a repeat may help.
+/// A response with the body {"error":{"message":…,"type":…,"code":…}}, and with Retry-After (in seconds, rounded up) if a
+/// retry may help.
 http::Response errorResponse(const CallerError &error);
 
 } // namespace cardamomlift::gateway
--- a/src/gateway/chatformat.h
+++ b/src/gateway/chatformat.h
@@ -7,20 +7,20 @@
 
 namespace cardamomlift::gateway {
 
-/// The JSON before and after the text in each chat.completion.chunk of one request. Written once a request: a tree of JSON
-/// values for each token costs more than all else that the gateway does with it.
+/// The JSON before and after the text in each chat.completion.chunk of one request. It is serialized once per request,
+/// because building a tree of JSON values for each token costs more than the rest of the gateway's work on the token.
 struct ChunkFrame {
-    std::string head;
-    std::string tail;
+    std::string prefix;
+    std::string suffix;
 };
 ChunkFrame chunkFrame(const streams::StreamState &state);
-/// One server-sent event with a chat.completion.chunk; its id is the token's position, for Last-Event-ID.
+/// A server-sent event with one chat.completion.chunk. Its id is the token's position, for Last-Event-ID.
 std::string tokenEvent(const ChunkFrame &frame, std::uint64_t position, const std::string &text);
-/// The last events of a whole answer: finish reason, usage, [DONE].
-std::string endEvents(const streams::StreamState &state);
-/// An error inside a stream whose head was sent already.
+/// The last events of a complete stream: a chunk with finish reason and usage, then [DONE].
+std::string finalEvents(const streams::StreamState &state);
+/// An error event, for a stream whose response headers were already sent.
 std::string errorEvent(const std::string &code, const std::string &message);
-/// The chat.completion object of an answer that is not streamed.
-http::Response wholeAnswer(const streams::StreamState &state);
+/// The response with a chat.completion object, for a request that is not streamed.
+http::Response completionResponse(const streams::StreamState &state);
 
 } // namespace cardamomlift::gateway
--- a/src/gateway/chathandler.h
+++ b/src/gateway/chathandler.h
@@ -10,7 +10,7 @@
 
 namespace cardamomlift::gateway {
 
-/// Answers POST /v1/chat/completions.
+/// Handles POST /v1/chat/completions.
 class ChatHandler
 {
 public:
@@ -18,8 +18,8 @@
 
     void handle(CallerRequest caller);
     std::size_t openSessions() const;
-    /// Ends the calls that are not streamed, which no other VM can go on with.
-    void giveUpOpen();
+    /// Fails the open requests that are not streamed: unlike streams, no other VM can continue them.
+    void failOpenRequests();
 
 private:
     ChatHandler() = default;
@@ -32,11 +32,11 @@
         std::uint64_t ticket);
     void stream(const CallerRequest &caller, streams::StreamState state, std::uint64_t ticket);
     void collect(const CallerRequest &caller, streams::StreamState state, std::uint64_t ticket);
-    void releaseAtEnd(const std::shared_ptr<streams::StreamSession> &session, std::uint64_t ticket);
+    void releaseTicketAtEnd(const std::shared_ptr<streams::StreamSession> &session, std::uint64_t ticket);
     void endRequest(const streams::StreamSession &session, std::uint64_t ticket);
-    streams::StreamObserver wholeAnswerObserver(const CallerRequest &caller, const streams::StreamSession &session, std::uint64_t ticket);
+    streams::StreamObserver completionObserver(const CallerRequest &caller, const streams::StreamSession &session, std::uint64_t ticket);
     GatewayTools tools_;
-    std::unordered_map<std::string, std::shared_ptr<streams::StreamSession>> sessions_; ///< Not streamed.
+    std::unordered_map<std::string, std::shared_ptr<streams::StreamSession>> sessions_; ///< Not streamed; by request id.
 };
 
 } // namespace cardamomlift::gateway
--- a/src/gateway/chatstream.h
+++ b/src/gateway/chatstream.h
@@ -9,16 +9,17 @@
 
 namespace cardamomlift::gateway {
 
-/// Headers of every answer: the request's id, and which VM and which backend server gave it.
-void addServedBy(http::Headers &headers, const std::string &instance, const streams::StreamState &state);
+/// Adds the headers with the request id, this VM's instance name and the backend server of the last attempt.
+void addServingHeaders(http::Headers &headers, const std::string &instance, const streams::StreamState &state);
 
 CallerError toCallerError(const streams::StreamFailure &failure);
 
-/// Counts a refusal and answers it.
+/// Counts the refusal and sends it as the response.
 void refuse(const GatewayTools &tools, const std::shared_ptr<http::Responder> &responder, const CallerError &error);
 
-/// Sends the answer of @p session from token @p position on as server-sent events. The status 200 goes out with the first
-/// event. A caller who goes away or does not read leaves the request to be resumed. @p onToken is called with each token.
+/// Streams the tokens of @p session to the caller as server-sent events, starting at token @p position. Status 200 is sent
+/// with the first event. If the caller disconnects or does not read, the request stays open and can be resumed. @p onToken is
+/// called for each token.
 void streamTo(const GatewayTools &tools,
     const std::shared_ptr<streams::StreamSession> &session,
     const std::shared_ptr<http::Responder> &responder,
--- a/src/gateway/gateway.h
+++ b/src/gateway/gateway.h
@@ -9,7 +9,7 @@
 
 namespace cardamomlift::gateway {
 
-/// The callers' port: knows callers by their API key and hands their requests to the handlers.
+/// Serves the callers' port: authenticates requests by API key and dispatches them to the handlers.
 class Gateway
 {
 public:
@@ -17,8 +17,8 @@
 
     std::uint16_t port() const;
     void stopListening();
-    /// Ends the chat calls that can't be resumed elsewhere, with the outcome "unknown".
-    void giveUpOpen();
+    /// Fails the open chat requests that can't be resumed on another VM, with the outcome "unknown".
+    void failOpenRequests();
     std::size_t openRequests() const;
 
 private:
@@ -29,7 +29,7 @@
     std::unique_ptr<ChatHandler> chat_;
     std::unique_ptr<ResumeHandler> resume_;
     std::unique_ptr<ServiceHandler> services_;
-    std::unique_ptr<http::Server> server_; ///< Last: it ends first, and calls the handlers above until then.
+    std::unique_ptr<http::Server> server_; ///< Last, so that it is destroyed first: it calls the handlers above.
 };
 
 } // namespace cardamomlift::gateway
--- a/src/gateway/gatewaymodule.cpp
+++ b/src/gateway/gatewaymodule.cpp
@@ -54,7 +54,7 @@
         }
         const std::shared_ptr<Gateway> shared = gateway.value();
         lifecycle->onLastWork([shared] { shared->stopListening(); });
-        lifecycle->onDrainBound([shared] { shared->giveUpOpen(); });
+        lifecycle->onDrainBound([shared] { shared->failOpenRequests(); });
         lifecycle->addProbe("gateway", [shared] { return shared->openRequests(); });
         context.set(shared);
         return success();
--- a/src/gateway/gatewaytypes.h
+++ b/src/gateway/gatewaytypes.h
@@ -19,7 +19,7 @@
 
 namespace cardamomlift::gateway {
 
-/// What the handlers of callers' requests work with.
+/// Dependencies of the request handlers.
 struct GatewayTools {
     EventLoop *loop = nullptr;
     std::string instance;
@@ -38,7 +38,7 @@
     std::shared_ptr<MemoryGuard> memory;
 };
 
-/// One authenticated request.
+/// An authenticated request of a caller.
 struct CallerRequest {
     std::shared_ptr<const contract::ContractInForce> contract;
     http::Request http;
--- a/src/gateway/internal/callererrors.cpp
+++ b/src/gateway/internal/callererrors.cpp
@@ -8,7 +8,7 @@
 
 using metrics::RefusalReason;
 
-std::string_view typeOf(int status)
+std::string_view errorType(int status)
 {
     if (status == 401) {
         return "authentication_error";
@@ -72,7 +72,7 @@
     const int status = statusOf(error.reason);
     Json::Value body;
     body["error"]["message"] = error.message;
-    body["error"]["type"] = std::string(typeOf(status));
+    body["error"]["type"] = std::string(errorType(status));
     body["error"]["code"] = std::string(metrics::reasonName(error.reason));
     http::Response response = http::jsonResponse(status, body);
     response.headers["Cardamomlift-Outcome"] = error.outcome == ErrorOutcome::NotRun ? "not-run" : "unknown";
--- a/src/gateway/internal/chatformat.cpp
+++ b/src/gateway/internal/chatformat.cpp
@@ -37,17 +37,17 @@
     const std::string id = http::writeJson(state.requestId);
     const std::string model = http::writeJson(state.model);
     ChunkFrame frame;
-    frame.head = R"({"choices":[{"delta":{"content":)";
-    frame.tail = fmt::format(R"(}},"finish_reason":null,"index":0}}],"id":{},"model":{},"object":"{}"}})", id, model, ChunkObject);
+    frame.prefix = R"({"choices":[{"delta":{"content":)";
+    frame.suffix = fmt::format(R"(}},"finish_reason":null,"index":0}}],"id":{},"model":{},"object":"{}"}})", id, model, ChunkObject);
     return frame;
 }
 
 std::string tokenEvent(const ChunkFrame &frame, std::uint64_t position, const std::string &text)
 {
-    return fmt::format("id: {}\ndata: {}{}{}\n\n", position, frame.head, http::writeJson(text), frame.tail);
+    return fmt::format("id: {}\ndata: {}{}{}\n\n", position, frame.prefix, http::writeJson(text), frame.suffix);
 }
 
-std::string endEvents(const streams::StreamState &state)
+std::string finalEvents(const streams::StreamState &state)
 {
     Json::Value json = chunk(state);
     json["choices"][0]["index"] = 0;
@@ -65,7 +65,7 @@
     return fmt::format("data: {}\n\n", http::writeJson(json));
 }
 
-http::Response wholeAnswer(const streams::StreamState &state)
+http::Response completionResponse(const streams::StreamState &state)
 {
     std::string text;
     for (const std::string &token : state.tokens) {
--- a/src/gateway/internal/chathandler.cpp
+++ b/src/gateway/internal/chathandler.cpp
@@ -41,11 +41,11 @@
     tools_.demand->add(state.model, static_cast<std::int64_t>(state.tokens.size()), isUrgent);
 }
 
-void ChatHandler::giveUpOpen()
+void ChatHandler::failOpenRequests()
 {
     const auto open = sessions_;
     for (const auto &[requestId, session] : open) {
-        session->giveUp({metrics::RefusalReason::Draining, "This VM is leaving. Send the request again."});
+        session->giveUp({metrics::RefusalReason::Draining, "This VM is draining. Send the request again."});
     }
 }
 
@@ -56,10 +56,10 @@
 
 void ChatHandler::handle(CallerRequest caller)
 {
-    ChatRequestError wrong;
-    const auto request = readChatRequest(caller.http.body, wrong);
+    ChatRequestError error;
+    const auto request = readChatRequest(caller.http.body, error);
     if (!request) {
-        refuse(caller, {wrong.isJson ? metrics::RefusalReason::BadField : metrics::RefusalReason::BadJson, wrong.message});
+        refuse(caller, {error.isJson ? metrics::RefusalReason::BadField : metrics::RefusalReason::BadJson, error.message});
         return;
     }
     const contract::Contract &contract = caller.contract->contract;
@@ -105,7 +105,7 @@
     state.model = request.model;
     state.messagesJson = request.messagesJson;
     state.maxTokens = std::min(request.maxTokens.value_or(grant.maxOutputTokens), grant.maxOutputTokens);
-    // NOTE A seed always: a repeat on another server must give the same tokens.
+    // NOTE Always set a seed: if the request is retried on another server, it must generate the same tokens.
     state.seed = request.seed.value_or(text::stableHash(state.requestId) >> 1);
     state.priority = static_cast<int>(serviceClass.priority);
     state.prefixHash = request.prefixHash;
@@ -117,16 +117,16 @@
     }
 }
 
-void ChatHandler::releaseAtEnd(const std::shared_ptr<streams::StreamSession> &session, std::uint64_t ticket)
+void ChatHandler::releaseTicketAtEnd(const std::shared_ptr<streams::StreamSession> &session, std::uint64_t ticket)
 {
-    // NOTE The handler is owned by the session, so it must not own it.
+    // NOTE The session owns this callback, so the callback must not own the session.
     session->onEnded([this, raw = session.get(), ticket] { endRequest(*raw, ticket); });
 }
 
 void ChatHandler::stream(const CallerRequest &caller, streams::StreamState state, std::uint64_t ticket)
 {
     const auto session = std::make_shared<std::weak_ptr<streams::StreamSession>>();
-    // Not accepted before the copy stands: until then nothing is sent, and a caller who leaves ends the request.
+    // The request is accepted once its state is replicated. Until then nothing is sent, and a disconnect cancels the request.
     const auto onAccepted = [this, responder = caller.responder, session, ticket] {
         const auto open = session->lock();
         if (!open || responder->isClosed()) {
@@ -137,7 +137,7 @@
     };
     const auto opened = tools_.streamRegistry->open(std::move(state), onAccepted);
     *session = opened;
-    releaseAtEnd(opened, ticket);
+    releaseTicketAtEnd(opened, ticket);
     caller.responder->onClosed([session] {
         if (const auto open = session->lock()) {
             open->cancel();
@@ -156,19 +156,19 @@
         tools_.loop->post([this, requestId] { sessions_.erase(requestId); });
     });
     caller.responder->onClosed([session] { session->cancel(); });
-    session->attach(0, wholeAnswerObserver(caller, *session, ticket));
+    session->attach(0, completionObserver(caller, *session, ticket));
     session->start();
 }
 
-streams::StreamObserver ChatHandler::wholeAnswerObserver(const CallerRequest &caller, const streams::StreamSession &session, std::uint64_t ticket)
+streams::StreamObserver ChatHandler::completionObserver(const CallerRequest &caller, const streams::StreamSession &session, std::uint64_t ticket)
 {
     streams::StreamObserver observer;
     observer.onToken = [this, ticket](std::uint64_t, const std::string &) {
         tools_.admission->onFirstToken(ticket);
     };
     observer.onFinished = [this, &session, responder = caller.responder] {
-        http::Response response = wholeAnswer(session.state());
-        addServedBy(response.headers, tools_.instance, session.state());
+        http::Response response = completionResponse(session.state());
+        addServingHeaders(response.headers, tools_.instance, session.state());
         tools_.metrics->add("requests_accepted_total");
         responder->respond(std::move(response));
     };
--- a/src/gateway/internal/chatrequest.cpp
+++ b/src/gateway/internal/chatrequest.cpp
@@ -9,7 +9,7 @@
 
 constexpr std::int64_t BytesPerToken = 4;
 
-bool areMessages(const Json::Value &messages)
+bool isMessageList(const Json::Value &messages)
 {
     if (!messages.isArray() || messages.empty()) {
         return false;
@@ -22,25 +22,25 @@
     return true;
 }
 
-/// The member @p name or its older spelling, or null.
-const Json::Value &eitherMember(const Json::Value &json, const char *name, const char *older)
+/// The member @p name, else the member @p alias (its former name), else null.
+const Json::Value &memberOrAlias(const Json::Value &json, const char *name, const char *alias)
 {
-    return json.isMember(name) ? json[name] : json[older];
+    return json.isMember(name) ? json[name] : json[alias];
 }
 
 bool readNumbers(const Json::Value &json, ChatRequest &request, ChatRequestError &error)
 {
-    const Json::Value &most = eitherMember(json, "max_completion_tokens", "max_tokens");
-    if (!most.isNull() && (!most.isInt64() || most.asInt64() < 1)) {
-        error.message = "\"max_tokens\" must be a whole number from 1.";
+    const Json::Value &maxTokens = memberOrAlias(json, "max_completion_tokens", "max_tokens");
+    if (!maxTokens.isNull() && (!maxTokens.isInt64() || maxTokens.asInt64() < 1)) {
+        error.message = "\"max_tokens\" must be a positive integer.";
         return false;
     }
-    if (!most.isNull()) {
-        request.maxTokens = most.asInt64();
+    if (!maxTokens.isNull()) {
+        request.maxTokens = maxTokens.asInt64();
     }
     const Json::Value &seed = json["seed"];
     if (!seed.isNull() && !seed.isUInt64()) {
-        error.message = "\"seed\" must be a whole number from 0.";
+        error.message = "\"seed\" must be a non-negative integer.";
         return false;
     }
     if (!seed.isNull()) {
@@ -55,7 +55,7 @@
 {
     const auto parsed = http::parseJson(body);
     if (!parsed) {
-        error = {false, "The body is not JSON."};
+        error = {false, "The body is not valid JSON."};
         return std::nullopt;
     }
     const Json::Value &json = *parsed;
@@ -64,11 +64,11 @@
         return std::nullopt;
     }
     if (!json["model"].isString()) {
-        error.message = "\"model\" must be a text.";
+        error.message = "\"model\" must be a string.";
         return std::nullopt;
     }
-    if (!areMessages(json["messages"])) {
-        error.message = "\"messages\" must be a list of objects with \"role\" and \"content\".";
+    if (!isMessageList(json["messages"])) {
+        error.message = "\"messages\" must be a non-empty array of objects with \"role\" and \"content\".";
         return std::nullopt;
     }
     if (!json["stream"].isNull() && !json["stream"].isBool()) {
--- a/src/gateway/internal/chatstream.cpp
+++ b/src/gateway/internal/chatstream.cpp
@@ -6,22 +6,22 @@
 
 namespace {
 
-/// The connection of the caller who reads a session now. Owned by the session's observer, so it must not own the session.
-struct Reader {
+/// The connection of a caller that is reading a session. The session's observer owns it, so it must not own the session.
+struct CallerConnection {
     GatewayTools tools;
     streams::StreamSession *session = nullptr;
     std::shared_ptr<http::Responder> responder;
     ChunkFrame frame;
-    std::function<void()> tokenHandler; ///< May be empty.
-    bool isCurrent = true; ///< False when another connection reads the session, or this one was given up.
+    std::function<void()> tokenHandler; ///< Called for each token; may be empty.
+    bool isCurrent = true; ///< False once another connection reads the session, or this one was aborted.
 
-    void startHead()
+    void sendHeaders()
     {
         if (responder->isStreaming()) {
             return;
         }
         http::Headers headers{{"Content-Type", "text/event-stream"}, {"Cache-Control", "no-cache"}};
-        addServedBy(headers, tools.instance, session->state());
+        addServingHeaders(headers, tools.instance, session->state());
         responder->startStream(200, std::move(headers));
     }
 
@@ -30,18 +30,18 @@
         if (tokenHandler) {
             tokenHandler();
         }
-        startHead();
+        sendHeaders();
         responder->write(tokenEvent(frame, position, text));
         if (responder->bufferedBytes() > tools.callerBufferBytes) {
             tools.metrics->add("slow_callers_total");
-            giveUp();
+            disconnect();
         }
     }
 
     void onFinished()
     {
-        startHead();
-        responder->write(endEvents(session->state()));
+        sendHeaders();
+        responder->write(finalEvents(session->state()));
         responder->finish();
     }
 
@@ -56,8 +56,9 @@
         responder->finish();
     }
 
-    /// The caller is gone, or does not read: rather than buffer for it, let it resume.
-    void giveUp()
+    /// For a caller that has disconnected or does not read: drops the connection instead of buffering more. The caller can
+    /// resume the request.
+    void disconnect()
     {
         if (!isCurrent) {
             return;
@@ -76,7 +77,7 @@
 
 } // namespace
 
-void addServedBy(http::Headers &headers, const std::string &instance, const streams::StreamState &state)
+void addServingHeaders(http::Headers &headers, const std::string &instance, const streams::StreamState &state)
 {
     headers["X-Request-Id"] = state.requestId;
     headers["X-Served-By"] = instance;
@@ -102,26 +103,26 @@
     std::uint64_t position,
     std::function<void()> onToken)
 {
-    auto reader = std::make_shared<Reader>(Reader{tools, session.get(), responder, chunkFrame(session->state()), std::move(onToken)});
+    auto connection = std::make_shared<CallerConnection>(CallerConnection{tools, session.get(), responder, chunkFrame(session->state()), std::move(onToken)});
     streams::StreamObserver observer;
-    observer.onToken = [reader](std::uint64_t at, const std::string &text) {
-        reader->onToken(at, text);
+    observer.onToken = [connection](std::uint64_t at, const std::string &text) {
+        connection->onToken(at, text);
     };
-    observer.onFinished = [reader] {
-        reader->onFinished();
+    observer.onFinished = [connection] {
+        connection->onFinished();
     };
-    observer.onFailed = [reader](const streams::StreamFailure &failure) {
-        reader->onFailed(failure);
+    observer.onFailed = [connection](const streams::StreamFailure &failure) {
+        connection->onFailed(failure);
     };
-    observer.onReplaced = [reader] {
-        reader->onReplaced();
+    observer.onReplaced = [connection] {
+        connection->onReplaced();
     };
-    // NOTE The session may be gone by the time the connection ends, the reader too.
-    responder->onClosed([weak = std::weak_ptr<Reader>(reader), weakSession = std::weak_ptr(session)] {
+    // NOTE The session and its observer may already be destroyed when the connection is closed.
+    responder->onClosed([weak = std::weak_ptr<CallerConnection>(connection), weakSession = std::weak_ptr(session)] {
         const auto current = weak.lock();
         const auto alive = weakSession.lock();
         if (current && alive) {
-            current->giveUp();
+            current->disconnect();
         }
     });
     session->attach(position, std::move(observer));
--- a/src/gateway/internal/gateway.cpp
+++ b/src/gateway/internal/gateway.cpp
@@ -10,9 +10,9 @@
 constexpr std::string_view BearerPrefix = "Bearer ";
 constexpr std::string_view ServicePrefix = "/services/";
 constexpr std::string_view RequestsPrefix = "/v1/requests/";
-constexpr Duration ComeBackSoon = std::chrono::seconds(1);
+constexpr Duration RetryAfterShort = std::chrono::seconds(1);
 
-metrics::RefusalReason serverRefusalReason(int status)
+metrics::RefusalReason refusalReasonOf(int status)
 {
     switch (status) {
     case 413:
@@ -24,18 +24,19 @@
     }
 }
 
-CallerError notServing(lifecycle::Phase phase)
+CallerError notServingError(lifecycle::Phase phase)
 {
     if (phase == lifecycle::Phase::Draining) {
-        return {metrics::RefusalReason::Draining, "This VM is leaving.", ComeBackSoon};
+        return {metrics::RefusalReason::Draining, "This VM is draining and accepts no new requests.", RetryAfterShort};
     }
     const bool isStarting = phase == lifecycle::Phase::Starting;
-    return {metrics::RefusalReason::NotReady, isStarting ? "This VM has no configuration yet." : "This VM's configuration may be out of date.", ComeBackSoon};
+    return {
+        metrics::RefusalReason::NotReady, isStarting ? "This VM has no configuration yet." : "This VM's configuration may be out of date.", RetryAfterShort};
 }
 
-http::Response serverRefusal(int status)
+http::Response httpServerErrorResponse(int status)
 {
-    return errorResponse({serverRefusalReason(status), status == 413 ? "The body is too large." : "The request can't be read."});
+    return errorResponse({refusalReasonOf(status), status == 413 ? "The request body is too large." : "The request could not be read."});
 }
 
 } // namespace
@@ -54,8 +55,8 @@
         return server.error();
     }
     gateway->server_ = std::move(server.value());
-    gateway->server_->setErrorBody(&serverRefusal);
-    gateway->server_->setRefusalHandler([metrics = tools.metrics](int status) { metrics->refused(serverRefusalReason(status)); });
+    gateway->server_->setErrorBody(&httpServerErrorResponse);
+    gateway->server_->setRefusalHandler([metrics = tools.metrics](int status) { metrics->refused(refusalReasonOf(status)); });
     return gateway;
 }
 
@@ -69,9 +70,9 @@
     server_->stopListening();
 }
 
-void Gateway::giveUpOpen()
+void Gateway::failOpenRequests()
 {
-    chat_->giveUpOpen();
+    chat_->failOpenRequests();
 }
 
 std::size_t Gateway::openRequests() const
@@ -95,21 +96,21 @@
         return;
     }
     if (!tools_.lifecycle->takesWork()) {
-        refuse(responder, notServing(phase));
+        refuse(responder, notServingError(phase));
         return;
     }
-    if (tools_.memory->isOver()) {
-        refuse(responder, {metrics::RefusalReason::Overloaded, "This VM is short of memory.", ComeBackSoon});
+    if (tools_.memory->isOverLimit()) {
+        refuse(responder, {metrics::RefusalReason::Overloaded, "This VM is low on memory.", RetryAfterShort});
         return;
     }
     const std::string_view authorization = http::headerValue(request.headers, "Authorization");
     if (!authorization.starts_with(BearerPrefix)) {
-        refuse(responder, {metrics::RefusalReason::MissingCredential, "Send an API key as a bearer token."});
+        refuse(responder, {metrics::RefusalReason::MissingCredential, "Send an API key as a bearer token in the Authorization header."});
         return;
     }
     auto contract = tools_.contracts->findByKeyHash(text::sha256Hex(authorization.substr(BearerPrefix.size())));
     if (!contract) {
-        refuse(responder, {metrics::RefusalReason::UnknownCredential, "No customer has this API key."});
+        refuse(responder, {metrics::RefusalReason::UnknownCredential, "This API key is not known."});
         return;
     }
     CallerRequest caller{std::move(contract), std::move(request), std::move(responder)};
@@ -120,7 +121,7 @@
     } else if (caller.http.path.starts_with(ServicePrefix)) {
         services_->handle(std::move(caller));
     } else {
-        refuse(caller.responder, {metrics::RefusalReason::UnknownPath, "There is nothing at this path."});
+        refuse(caller.responder, {metrics::RefusalReason::UnknownPath, "No such path or method."});
     }
 }
 
--- a/src/gateway/internal/memoryguard.cpp
+++ b/src/gateway/internal/memoryguard.cpp
@@ -20,7 +20,7 @@
     return guard;
 }
 
-bool MemoryGuard::isOver() const
+bool MemoryGuard::isOverLimit() const
 {
     return residentBytes_ > limitBytes_;
 }
--- a/src/gateway/internal/resumehandler.cpp
+++ b/src/gateway/internal/resumehandler.cpp
@@ -10,7 +10,7 @@
 namespace {
 
 constexpr std::string_view RequestsPrefix = "/v1/requests/";
-constexpr Duration ComeBackSoon = std::chrono::seconds(1);
+constexpr Duration RetryAfterShort = std::chrono::seconds(1);
 
 std::optional<std::uint64_t> readNumber(std::string_view text)
 {
@@ -22,7 +22,8 @@
     return number;
 }
 
-/// The first token the caller wants: after "starting_after", or the Last-Event-ID header, or from the start.
+/// Position of the first token to send: the one after the query parameter "starting_after" or, without that, after the
+/// Last-Event-ID header; 0 without either. Empty if the value is not a number.
 std::optional<std::uint64_t> readPosition(const http::Request &request)
 {
     const auto query = request.query.find("starting_after");
@@ -50,7 +51,7 @@
 {
     const auto position = readPosition(caller.http);
     if (caller.http.method != "GET" && caller.http.method != "DELETE") {
-        refuse(tools_, caller.responder, {metrics::RefusalReason::UnknownPath, "Use GET to resume, DELETE to cancel."});
+        refuse(tools_, caller.responder, {metrics::RefusalReason::UnknownPath, "Use GET to resume a request, or DELETE to cancel it."});
         return;
     }
     if (!position) {
@@ -66,12 +67,13 @@
 void ResumeHandler::onFound(const CallerRequest &caller, std::uint64_t position, const streams::FindResult &result)
 {
     if (result.outcome == streams::FindOutcome::RetryLater) {
-        CallerError error{metrics::RefusalReason::NotReady, "The request is being moved. Resume it again.", ComeBackSoon, ErrorOutcome::Unknown};
+        CallerError error{
+            metrics::RefusalReason::NotReady, "The request is being moved to another VM. Try to resume it again.", RetryAfterShort, ErrorOutcome::Unknown};
         refuse(tools_, caller.responder, error);
         return;
     }
     if (result.outcome == streams::FindOutcome::NotFound) {
-        CallerError error{metrics::RefusalReason::UnknownRequest, "There is no such request, or it can't be resumed any more."};
+        CallerError error{metrics::RefusalReason::UnknownRequest, "There is no such request, or it can no longer be resumed."};
         error.outcome = ErrorOutcome::Unknown;
         refuse(tools_, caller.responder, error);
         return;
--- a/src/gateway/internal/servicehandler.cpp
+++ b/src/gateway/internal/servicehandler.cpp
@@ -16,29 +16,30 @@
 constexpr std::string_view ServicePrefix = "/services/";
 constexpr char IdempotencyHeader[] = "Idempotency-Key";
 constexpr char NotRunHeader[] = "X-Not-Run";
-// A refusal speaks for this request; of earlier ones with the same key it knows nothing unless the key was looked up.
+// The outcome of a refusal is that of this request only. This header says that the idempotency key was not looked up, so an
+// earlier request with the same key may have run.
 constexpr char KeyOutcomeHeader[] = "Cardamomlift-Key-Outcome";
 constexpr char KeyNotLookedUp[] = "not-looked-up";
-constexpr std::size_t LongestKey = 255;
-constexpr Duration ComeBackSoon = std::chrono::seconds(1);
-constexpr Duration ComeBackLater = std::chrono::seconds(5);
-constexpr Duration LeastTimeout = std::chrono::milliseconds(1); ///< libcurl takes 0 as "none".
-constexpr Duration LeastPatience = std::chrono::milliseconds(250);
+constexpr std::size_t MaxKeyLength = 255;
+constexpr Duration RetryAfterShort = std::chrono::seconds(1);
+constexpr Duration RetryAfterLong = std::chrono::seconds(5);
+constexpr Duration MinTimeout = std::chrono::milliseconds(1); ///< libcurl treats a timeout of 0 as no timeout.
+constexpr Duration MinClaimWait = std::chrono::milliseconds(250);
 
-bool isUsableKey(std::string_view key)
+bool isValidKey(std::string_view key)
 {
     const auto isPrintable = [](char c) {
         return c > ' ' && c <= '~';
     };
-    return !key.empty() && key.size() <= LongestKey && std::all_of(key.begin(), key.end(), isPrintable);
+    return !key.empty() && key.size() <= MaxKeyLength && std::all_of(key.begin(), key.end(), isPrintable);
 }
 
-std::string timeText(std::int64_t seconds)
+std::string formatTimestamp(std::int64_t seconds)
 {
     return fmt::format("{:%Y-%m-%dT%H:%M:%SZ}", fmt::gmtime(static_cast<std::time_t>(seconds)));
 }
 
-bool saysNotRun(const http::ClientResult &result)
+bool isMarkedNotRun(const http::ClientResult &result)
 {
     return result.transport == http::Transport::Completed && http::headerValue(result.headers, NotRunHeader) == "true";
 }
@@ -48,7 +49,7 @@
     if (refused) {
         return retry::FailureKind::Refused;
     }
-    // Only a connection that never carried a byte proves that the server did not run the call.
+    // The only proof that the server did not run the call is that no byte was sent on the connection.
     if (result.transport == http::Transport::NotSent) {
         return retry::FailureKind::NotSent;
     }
@@ -57,7 +58,7 @@
 
 } // namespace
 
-/// One call of a plain service.
+/// One call to a service.
 struct ServiceHandler::Call {
     CallerRequest caller;
     std::string service;
@@ -126,9 +127,10 @@
     call->serviceClass = *contract::findClass(contract, grant->serviceClass);
     const std::string_view key = http::headerValue(call->caller.http.headers, IdempotencyHeader);
     call->answerBy = tools_.loop->now() + std::chrono::milliseconds(grant->timeoutMs);
-    if (!grant->idempotent && !isUsableKey(key)) {
+    if (!grant->idempotent && !isValidKey(key)) {
         refuse(call,
-            {metrics::RefusalReason::MissingIdempotencyKey, "This call may not be repeated: send an Idempotency-Key of 1 to 255 printable ASCII characters."});
+            {metrics::RefusalReason::MissingIdempotencyKey,
+                "This service is not idempotent: send an Idempotency-Key of 1 to 255 printable ASCII characters without spaces."});
         return;
     }
     retry::RequestRecord &record = call->record;
@@ -169,7 +171,7 @@
     claim.customer = call->caller.contract->contract.customer;
     claim.key = std::string(http::headerValue(request.headers, IdempotencyHeader));
     claim.bodyHash = text::sha256Hex(request.method + " " + request.path + "\n" + request.body);
-    claim.patience = std::max(LeastPatience, Duration(std::chrono::milliseconds(call->serviceClass.waitUpToMs)));
+    claim.patience = std::max(MinClaimWait, Duration(std::chrono::milliseconds(call->serviceClass.waitUpToMs)));
     claim.timeout = std::max(Duration(0), call->answerBy - tools_.loop->now());
     tools_.claims->begin(std::move(claim), [this, call](claims::BeginResult result) { onClaim(call, result); });
 }
@@ -186,16 +188,16 @@
         replay(call, result.answer);
         return;
     case claims::BeginOutcome::StillRunning:
-        refuse(call, {metrics::RefusalReason::StillRunning, "A call with this key is running.", ComeBackSoon, ErrorOutcome::Unknown});
+        refuse(call, {metrics::RefusalReason::StillRunning, "A call with this idempotency key is still running.", RetryAfterShort, ErrorOutcome::Unknown});
         return;
     case claims::BeginOutcome::OutcomeUnknown:
-        refuse(call, {metrics::RefusalReason::OutcomeUnknown, "A call with this key may have run.", ComeBackLater, ErrorOutcome::Unknown});
+        refuse(call, {metrics::RefusalReason::OutcomeUnknown, "A call with this idempotency key may have run.", RetryAfterLong, ErrorOutcome::Unknown});
         return;
     case claims::BeginOutcome::KeyReused:
-        refuse(call, {metrics::RefusalReason::IdempotencyKeyReused, "This key was used with another request."});
+        refuse(call, {metrics::RefusalReason::IdempotencyKeyReused, "This idempotency key was already used with a different request."});
         return;
     case claims::BeginOutcome::NotRun:
-        refuse(call, {metrics::RefusalReason::TableDown, "The call can't be claimed now; it was not run.", ComeBackSoon});
+        refuse(call, {metrics::RefusalReason::TableDown, "The idempotency key could not be recorded, so the call was not run.", RetryAfterShort});
         return;
     }
 }
@@ -207,7 +209,7 @@
         Json::Value body;
         body["answered"] = true;
         body["status"] = kept.status;
-        body["message"] = "The call with this key ran and was answered. Its answer was too large to be kept.";
+        body["message"] = "The call with this idempotency key was run and answered. The response was too large to be stored.";
         response = http::jsonResponse(kept.status, body);
         response.headers["Idempotent-Body-Kept"] = "false";
     }
@@ -218,7 +220,7 @@
     end(call, false);
 }
 
-void ServiceHandler::endNotRun(const std::shared_ptr<Call> &call, const CallerError &error)
+void ServiceHandler::refuseNotRun(const std::shared_ptr<Call> &call, const CallerError &error)
 {
     if (!call->grant.idempotent) {
         tools_.claims->finish(call->claim, claims::Outcome::NotRun, {});
@@ -230,12 +232,12 @@
 {
     const bool isInTime = tools_.loop->now() < call->answerBy && (call->grant.idempotent || tools_.claims->mayDispatch(call->claim));
     if (!isInTime) {
-        giveUp(call, {metrics::RefusalReason::DeadlineImpossible, "The call could not be sent in time.", ComeBackSoon});
+        fail(call, {metrics::RefusalReason::DeadlineImpossible, "The call could not be sent before its deadline.", RetryAfterShort});
         return;
     }
     const retry::AttemptPlan plan = tools_.planner->planAttempt(call->record);
     if (plan.kind != retry::PlanKind::Try) {
-        follow(call, plan);
+        followPlan(call, plan);
         return;
     }
     const auto &server = plan.server;
@@ -243,7 +245,7 @@
     request.method = call->caller.http.method;
     request.url = fmt::format("http://{}:{}{}", server->address, server->port, call->path);
     request.body = call->caller.http.body;
-    request.timeout = std::max(LeastTimeout, call->answerBy - tools_.loop->now());
+    request.timeout = std::max(MinTimeout, call->answerBy - tools_.loop->now());
     request.freshConnection = !call->grant.idempotent;
     request.mayResend = call->grant.idempotent;
     request.headers["X-Instance"] = server->instance;
@@ -267,7 +269,7 @@
 
 void ServiceHandler::onAnswer(const std::shared_ptr<Call> &call, const membership::Vm &server, http::ClientResult result)
 {
-    const bool refused = saysNotRun(result);
+    const bool refused = isMarkedNotRun(result);
     if (result.transport == http::Transport::Completed && !refused) {
         tools_.planner->attemptEnded(call->record, server.instance, routing::AttemptEnd::Answered);
         answer(call, result, server.instance);
@@ -275,29 +277,29 @@
     }
     if (result.heldBack) {
         tools_.planner->attemptEnded(call->record, server.instance, routing::AttemptEnd::Cancelled);
-        giveUp(call, {metrics::RefusalReason::DeadlineImpossible, "The call could not be sent in time.", ComeBackSoon});
+        fail(call, {metrics::RefusalReason::DeadlineImpossible, "The call could not be sent before its deadline.", RetryAfterShort});
         return;
     }
     const retry::FailureKind failure = failureKindOf(result, refused);
     if (retry::mayHaveRun(failure)) {
-        partLogger("gateway")->warn("A call may have run. server={} error={}", server.instance, result.error);
+        partLogger("gateway")->warn("A service call failed and may have run. server={} error={}", server.instance, result.error);
     }
-    follow(call, tools_.planner->attemptFailed(call->record, server.instance, failure));
+    followPlan(call, tools_.planner->attemptFailed(call->record, server.instance, failure));
 }
 
-void ServiceHandler::follow(const std::shared_ptr<Call> &call, const retry::AttemptPlan &plan)
+void ServiceHandler::followPlan(const std::shared_ptr<Call> &call, const retry::AttemptPlan &plan)
 {
     if (plan.kind == retry::PlanKind::Wait) {
         tools_.loop->after(plan.wait, [this, call] { dispatch(call); });
         return;
     }
-    giveUp(call, {plan.reason, plan.message, plan.retryAfter});
+    fail(call, {plan.reason, plan.message, plan.retryAfter});
 }
 
-void ServiceHandler::giveUp(const std::shared_ptr<Call> &call, CallerError error)
+void ServiceHandler::fail(const std::shared_ptr<Call> &call, CallerError error)
 {
     if (!call->record.mayHaveRun) {
-        endNotRun(call, error);
+        refuseNotRun(call, error);
         return;
     }
     if (!call->grant.idempotent) {
@@ -315,9 +317,10 @@
     response.headers["X-Served-By"] = tools_.instance;
     response.headers["X-Backend"] = server;
     if (!call->grant.idempotent) {
-        // NOTE The caller has its answer before the table does: it needs no repeat then. Who asks this VM gets the same.
+        // NOTE The response goes to the caller before the table has it: a caller with a response need not retry. Retries that
+        // reach this VM get the same response.
         tools_.claims->finish(call->claim, claims::Outcome::Answered, {result.status, contentType, result.body});
-        response.headers["Idempotency-Expires"] = timeText(call->claim.expiresAt);
+        response.headers["Idempotency-Expires"] = formatTimestamp(call->claim.expiresAt);
     }
     tools_.metrics->add("requests_accepted_total");
     call->caller.responder->respond(std::move(response));
--- a/src/gateway/memoryguard.h
+++ b/src/gateway/memoryguard.h
@@ -7,13 +7,13 @@
 
 namespace cardamomlift::gateway {
 
-/// Watches this process's resident memory, so that new work is refused before the VM runs out of it.
+/// Samples this process's resident memory, so that new requests are refused before the VM runs out of memory.
 class MemoryGuard
 {
 public:
-    /// @p limitBytes: above it isOver() holds.
+    /// isOverLimit() is true while the resident memory exceeds @p limitBytes.
     static std::shared_ptr<MemoryGuard> create(EventLoop &loop, std::size_t limitBytes);
-    bool isOver() const;
+    bool isOverLimit() const;
     std::size_t residentBytes() const;
 
 private:
--- a/src/gateway/resumehandler.h
+++ b/src/gateway/resumehandler.h
@@ -6,7 +6,7 @@
 
 namespace cardamomlift::gateway {
 
-/// Answers GET and DELETE /v1/requests/{id}: resumes or cancels a streamed request, accepted at whichever entry VM.
+/// Handles GET and DELETE /v1/requests/{id}: resumes or cancels a streamed request, which any entry VM may have accepted.
 class ResumeHandler
 {
 public:
--- a/src/gateway/servicehandler.h
+++ b/src/gateway/servicehandler.h
@@ -7,7 +7,7 @@
 
 namespace cardamomlift::gateway {
 
-/// Answers calls of plain services: /services/<service>/<path>.
+/// Handles calls to services other than models: /services/<service>/<path>.
 class ServiceHandler
 {
 public:
@@ -23,11 +23,11 @@
     void begin(const std::shared_ptr<Call> &call);
     void onClaim(const std::shared_ptr<Call> &call, const claims::BeginResult &result);
     void replay(const std::shared_ptr<Call> &call, const claims::KeptAnswer &kept);
-    /// Ends a call that no server ran: takes its claim back and refuses it.
-    void endNotRun(const std::shared_ptr<Call> &call, const CallerError &error);
+    /// Ends a call that no server ran: withdraws its claim and refuses it.
+    void refuseNotRun(const std::shared_ptr<Call> &call, const CallerError &error);
     void dispatch(const std::shared_ptr<Call> &call);
-    void giveUp(const std::shared_ptr<Call> &call, CallerError error);
-    void follow(const std::shared_ptr<Call> &call, const retry::AttemptPlan &plan);
+    void fail(const std::shared_ptr<Call> &call, CallerError error);
+    void followPlan(const std::shared_ptr<Call> &call, const retry::AttemptPlan &plan);
     void onAnswer(const std::shared_ptr<Call> &call, const membership::Vm &server, http::ClientResult result);
     void answer(const std::shared_ptr<Call> &call, const http::ClientResult &result, const std::string &server);
     void end(const std::shared_ptr<Call> &call, bool ran);
--- a/src/gateway/tests/chatformat_test.cpp
+++ b/src/gateway/tests/chatformat_test.cpp
@@ -9,7 +9,7 @@
 namespace cardamomlift::gateway {
 namespace {
 
-/// The chunk as a tree of JSON values, which is the slow way.
+/// The event built from a tree of JSON values, as a reference.
 std::string expectedEvent(const streams::StreamState &state, std::uint64_t position, const std::string &text)
 {
     Json::Value json;
@@ -22,7 +22,7 @@
     return "id: " + std::to_string(position) + "\ndata: " + http::writeJson(json) + "\n\n";
 }
 
-TEST(ChatFormat, TokenEventsAreThoseOfAWholeTree)
+TEST(ChatFormat, TokenEventsEqualThoseBuiltFromAJsonTree)
 {
     const std::array<std::string, 8> texts{
         "", " word", "line\n\r\t", "\"quoted\" \\ {} {0}", "grüezi नमस्ते 🛳", std::string("\0\x01\x1f", 3), "\xff\xc3", "</s>"};
