--- a/src/claims/internal/claimwire.cpp
+++ b/src/claims/internal/claimwire.cpp
@@ -42,36 +42,36 @@
 
 } // namespace
 
-std::string askPayload(const HolderQuestion &question)
+std::string encodeQuery(const HolderQuery &query)
 {
     wire::Ask message;
-    message.set_boot(question.boot);
-    message.set_nonce(question.nonce);
-    message.set_wait_ms(std::chrono::duration_cast<std::chrono::milliseconds>(question.wait).count());
+    message.set_boot(query.bootId);
+    message.set_nonce(query.nonce);
+    message.set_wait_ms(std::chrono::duration_cast<std::chrono::milliseconds>(query.wait).count());
     return message.SerializeAsString();
 }
 
-std::optional<HolderQuestion> askOf(const std::string &payload)
+std::optional<HolderQuery> decodeQuery(const std::string &payload)
 {
     wire::Ask message;
     if (!message.ParseFromString(payload) || message.nonce().empty()) {
         return std::nullopt;
     }
-    return HolderQuestion{message.boot(), message.nonce(), std::chrono::milliseconds(message.wait_ms())};
+    return HolderQuery{message.boot(), message.nonce(), std::chrono::milliseconds(message.wait_ms())};
 }
 
-std::string holderAnswerPayload(const HolderAnswer &answer)
+std::string encodeAnswer(const HolderAnswer &answer)
 {
     wire::AskReply message;
     message.set_state(toWire(answer.state));
-    message.set_status(answer.answer.status);
-    message.set_content_type(answer.answer.contentType);
-    message.set_body(answer.answer.body);
-    message.set_body_kept(answer.answer.bodyKept);
+    message.set_status(answer.response.status);
+    message.set_content_type(answer.response.contentType);
+    message.set_body(answer.response.body);
+    message.set_body_kept(answer.response.hasBody);
     return message.SerializeAsString();
 }
 
-HolderAnswer holderAnswerOf(const std::string &payload)
+HolderAnswer decodeAnswer(const std::string &payload)
 {
     wire::AskReply message;
     if (!message.ParseFromString(payload) || message.state() == wire::UNSPECIFIED) {
@@ -79,7 +79,7 @@
     }
     HolderAnswer answer;
     answer.state = fromWire(message.state());
-    answer.answer = {message.status(), message.content_type(), message.body(), message.body_kept()};
+    answer.response = {message.status(), message.content_type(), message.body(), message.body_kept()};
     return answer;
 }
 
--- a/src/gateway/gatewaymodule.cpp
+++ b/src/gateway/gatewaymodule.cpp
@@ -1,8 +1,8 @@
 #include "gateway/gateway.h"
 #include "kernel/module.h"
 #include "kernel/runtime.h"
-#include "settings/listenfiles.h"
 #include "settings/settingstypes.h"
+#include "settings/tlsfiles.h"
 
 namespace cardamomlift::gateway {
 
@@ -37,12 +37,12 @@
         tools.contracts = context.get<contract::ContractSet>();
         tools.admission = context.get<admission::Admission>();
         tools.planner = context.get<retry::AttemptPlanner>();
-        tools.claims = context.get<claims::ClaimKeeper>();
+        tools.claims = context.get<claims::ClaimManager>();
         tools.demand = context.get<fleet::DemandMeter>();
         tools.metrics = context.get<metrics::Metrics>();
         tools.lifecycle = lifecycle;
         tools.members = context.get<membership::Members>();
-        tools.keeper = context.get<streams::StreamKeeper>();
+        tools.streamRegistry = context.get<streams::StreamRegistry>();
         tools.memory = MemoryGuard::create(*tools.loop, settings->limits.memoryMegabytes * BytesPerMegabyte);
         tools.metrics->gauge("resident_memory_bytes", [guard = tools.memory] { return static_cast<double>(guard->residentBytes()); });
         BOOST_OUTCOME_TRY(options, settings::serverOptions(settings->callers));
@@ -54,7 +54,7 @@
         }
         const std::shared_ptr<Gateway> shared = gateway.value();
         lifecycle->onLastWork([shared] { shared->stopListening(); });
-        lifecycle->onDrainBound([shared] { shared->giveUpOpen(); });
+        lifecycle->onDrainBound([shared] { shared->failOpenRequests(); });
         lifecycle->addProbe("gateway", [shared] { return shared->openRequests(); });
         context.set(shared);
         return success();
--- a/src/gateway/gatewaytypes.h
+++ b/src/gateway/gatewaytypes.h
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "admission/admission.h"
-#include "claims/claimkeeper.h"
+#include "claims/claimmanager.h"
 #include "contract/contractset.h"
 #include "engine/engineclient.h"
 #include "fleet/demand.h"
@@ -12,14 +12,14 @@
 #include "lifecycle/lifecycle.h"
 #include "metrics/metrics.h"
 #include "retry/attemptplanner.h"
-#include "streams/streamkeeper.h"
+#include "streams/streamregistry.h"
 
 #include <memory>
 #include <string>
 
 namespace cardamomlift::gateway {
 
-/// What the handlers of callers' requests work with.
+/// Dependencies of the request handlers.
 struct GatewayTools {
     EventLoop *loop = nullptr;
     std::string instance;
@@ -29,16 +29,16 @@
     std::shared_ptr<contract::ContractSet> contracts;
     std::shared_ptr<admission::Admission> admission;
     std::shared_ptr<retry::AttemptPlanner> planner;
-    std::shared_ptr<claims::ClaimKeeper> claims;
+    std::shared_ptr<claims::ClaimManager> claims;
     std::shared_ptr<metrics::Metrics> metrics;
     std::shared_ptr<fleet::DemandMeter> demand;
     std::shared_ptr<lifecycle::Lifecycle> lifecycle;
     std::shared_ptr<membership::Members> members;
-    std::shared_ptr<streams::StreamKeeper> keeper;
+    std::shared_ptr<streams::StreamRegistry> streamRegistry;
     std::shared_ptr<MemoryGuard> memory;
 };
 
-/// One authenticated request.
+/// An authenticated request of a caller.
 struct CallerRequest {
     std::shared_ptr<const contract::ContractInForce> contract;
     http::Request http;
--- a/src/membership/internal/members.cpp
+++ b/src/membership/internal/members.cpp
@@ -6,8 +6,8 @@
 
 namespace {
 
-constexpr Duration KeepProvisional = std::chrono::minutes(3);
-constexpr Duration KeepMark = std::chrono::hours(24);
+constexpr Duration ProvisionalTtl = std::chrono::minutes(3);
+constexpr Duration MarkRetention = std::chrono::hours(24); // After the list last showed the instance.
 
 } // namespace
 
@@ -57,7 +57,7 @@
     if (vm.instance == self_ || listed_.contains(vm.instance)) {
         return;
     }
-    provisional_[vm.instance] = {vm, now() + KeepProvisional};
+    provisional_[vm.instance] = {vm, now() + ProvisionalTtl};
     rebuild();
 }
 
@@ -74,7 +74,7 @@
     return true;
 }
 
-bool Members::takeMark(const std::string &instance, LeavingMark mark)
+bool Members::applyRemoteMark(const std::string &instance, LeavingMark mark)
 {
     mark.known = now();
     if (!addMark(instance, std::move(mark))) {
@@ -86,7 +86,7 @@
 
 bool Members::addMark(const std::string &instance, LeavingMark mark)
 {
-    return marks_.emplace(instance, Mark{std::move(mark), now()}).second;
+    return marks_.emplace(instance, MarkEntry{std::move(mark), now()}).second;
 }
 
 bool Members::isLeaving(const std::string &instance) const
@@ -94,7 +94,7 @@
     return marks_.contains(instance);
 }
 
-std::optional<LeavingMark> Members::markOf(const std::string &instance) const
+std::optional<LeavingMark> Members::leavingMark(const std::string &instance) const
 {
     const auto found = marks_.find(instance);
     return found == marks_.end() ? std::nullopt : std::optional(found->second.mark);
@@ -116,7 +116,7 @@
             (isUnreachable(instance) ? unreachable : reachable).push_back(vm);
         }
     }
-    // NOTE With no other server left, one that refused connections a moment ago is still worth a try.
+    // NOTE If no other server is left, one that refused connections a moment ago is still worth a try.
     return reachable.empty() ? unreachable : reachable;
 }
 
@@ -138,10 +138,10 @@
 
 void Members::onChange(std::function<void()> handler)
 {
-    handlers_.push_back(std::move(handler));
+    changeHandlers_.push_back(std::move(handler));
 }
 
-void Members::onOwnMark(MarkHandler handler)
+void Members::onLocalMark(MarkHandler handler)
 {
     markHandlers_.push_back(std::move(handler));
 }
@@ -187,20 +187,20 @@
         return;
     }
     health_[instance] = health;
-    // The word that a VM was listed is older than this one. A VM that ended must not count as listed for minutes.
+    // The rumour that this VM was listed is older than its failure. A VM that has ended must not stay a member for minutes.
     if (health == Health::Failed && provisional_.erase(instance) > 0) {
         rebuild();
     }
 }
 
-void Members::forgetOld()
+void Members::removeExpired()
 {
     if (!clock_) {
         return;
     }
     std::erase_if(provisional_, [this](const auto &entry) { return entry.second.until <= now(); });
     std::erase_if(unreachable_, [this](const auto &entry) { return entry.second <= now(); });
-    std::erase_if(marks_, [this](const auto &entry) { return !listed_.contains(entry.first) && entry.second.lastListed + KeepMark <= now(); });
+    std::erase_if(marks_, [this](const auto &entry) { return !listed_.contains(entry.first) && entry.second.lastListed + MarkRetention <= now(); });
     rebuild();
     std::erase_if(health_, [this](const auto &entry) { return !vms_.contains(entry.first); });
 }
@@ -210,7 +210,7 @@
     return marks_.size();
 }
 
-// NOTE Not by rebuild(): when a failure domain goes, a hundred marks come at once.
+// NOTE Changes one entry instead of calling rebuild(): when a failure domain goes down, a hundred marks arrive at once.
 void Members::applyMark(const std::string &instance)
 {
     const auto found = vms_.find(instance);
@@ -222,13 +222,13 @@
 
 void Members::notify()
 {
-    const std::vector<std::function<void()>> handlers = handlers_;
+    const std::vector<std::function<void()>> handlers = changeHandlers_;
     for (const auto &handler : handlers) {
         handler();
     }
 }
 
-// Calls the handlers only when something changed: a reading of the list is usually the same as the last.
+// Calls the handlers only if something changed: the list read is usually the same as the one before.
 void Members::rebuild()
 {
     std::map<std::string, Vm> next = listed_;
--- a/src/recovery/internal/recoveringstreammove.cpp
+++ b/src/recovery/internal/recoveringstreammove.cpp
@@ -1,4 +1,4 @@
-// The move of a RecoveringStream from a server that is leaving to its successor.
+// The part of RecoveringStream that moves a stream from a server that is leaving to another one.
 
 #include "recovery/internal/recoveringstream.h"
 
@@ -10,57 +10,57 @@
 
 namespace {
 
-constexpr int MostFailedMoves = 4;
+constexpr int MaxFailedMoves = 4;
 constexpr Duration TransferTimeout = std::chrono::seconds(5);
 
 } // namespace
 
 void RecoveringStream::checkReclaim(Duration left)
 {
-    const bool isBusy = machine_.isPreparing || machine_.successor != NoLeg || machine_.current == NoLeg;
-    if (machine_.ended || isBusy || !hooks_.onMove || !hooks_.soFar || failedMoves_ >= MostFailedMoves) {
+    const bool isBusy = machine_.isPreparing || machine_.successor != NoAttempt || machine_.current == NoAttempt;
+    if (machine_.ended || isBusy || !hooks_.onMove || !hooks_.soFar || failedMoves_ >= MaxFailedMoves) {
         return;
     }
-    const RecoveryPlan plan = planRecovery(question(left));
-    if (plan.way != RecoveryWay::MoveKv && plan.way != RecoveryWay::Recompute) {
+    const RecoveryPlan plan = planRecovery(inputs(left));
+    if (plan.method != RecoveryMethod::MoveKv && plan.method != RecoveryMethod::Recompute) {
         return;
     }
     const RecoveryEstimates &estimates = *tools_.estimates;
-    const std::int64_t bytes = expectedKvBytes(estimates, tokensKnown());
-    const bool mayTransfer = mayTransferNow(bytes, estimates.kvBytesInFlight, estimates.transfersInFlight, estimates.isKvRateKnown);
-    if (plan.way == RecoveryWay::MoveKv && !mayTransfer) {
+    const std::int64_t bytes = expectedKvBytes(estimates, contextTokens());
+    const bool mayTransfer = canStartTransfer(bytes, estimates.kvBytesInFlight, estimates.transfersInFlight, estimates.isKvRateKnown);
+    if (plan.method == RecoveryMethod::MoveKv && !mayTransfer) {
         return;
     }
-    moveWay_ = plan.way;
+    moveMethod_ = plan.method;
     apply(onMoveWanted(machine_));
 }
 
-RecoveryQuestion RecoveringStream::question(Duration left) const
+RecoveryInputs RecoveringStream::inputs(Duration left) const
 {
     const RecoveryEstimates &estimates = *tools_.estimates;
-    const Leg &leg = legs_.at(machine_.current);
-    RecoveryQuestion question;
-    question.promptTokens = promptTokens_;
-    question.tokensSoFar = static_cast<std::int64_t>(machine_.position);
-    if (maxTokens_ > 0 && leg.hasToken) {
-        question.tokensLeft = maxTokens_ - question.tokensSoFar;
+    const Attempt &attempt = attempts_.at(machine_.current);
+    RecoveryInputs inputs;
+    inputs.promptTokens = promptTokens_;
+    inputs.tokensSoFar = static_cast<std::int64_t>(machine_.position);
+    if (maxTokens_ > 0 && attempt.hasToken) {
+        inputs.tokensLeft = maxTokens_ - inputs.tokensSoFar;
     }
-    question.resumeTried = machine_.resumeTried;
-    question.serverAnswers = !resuming_;
-    question.reclaimLeft = left;
-    question.betweenTokens = betweenTokens_;
-    question.cachedShareAtTarget = estimates.cachedShare;
-    question.prefillTokensPerMs = estimates.prefillTokensPerMs;
-    question.prefillQueueTokens = estimates.prefillTokensInFlight;
-    question.isKvRateKnown = estimates.isKvRateKnown;
-    question.kvBytesPerToken = estimates.kvBytesPerToken;
-    question.kvBytesPerMs = estimates.kvBytesPerMs;
-    question.kvQueueBytes = estimates.kvBytesInFlight;
-    question.canMoveKv = leg.hasToken && expectedKvBytes(estimates, tokensKnown()) <= LargestCache;
-    return question;
+    inputs.resumeTried = machine_.resumeTried;
+    inputs.serverAnswers = !isResuming_;
+    inputs.reclaimLeft = left;
+    inputs.betweenTokens = betweenTokens_;
+    inputs.cachedShareAtTarget = estimates.cachedShare;
+    inputs.prefillTokensPerMs = estimates.prefillTokensPerMs;
+    inputs.prefillQueueTokens = estimates.prefillTokensInFlight;
+    inputs.isKvRateKnown = estimates.isKvRateKnown;
+    inputs.kvBytesPerToken = estimates.kvBytesPerToken;
+    inputs.kvBytesPerMs = estimates.kvBytesPerMs;
+    inputs.kvQueueBytes = estimates.kvBytesInFlight;
+    inputs.canMoveKv = attempt.hasToken && expectedKvBytes(estimates, contextTokens()) <= MaxTransferBytes;
+    return inputs;
 }
 
-std::int64_t RecoveringStream::tokensKnown() const
+std::int64_t RecoveringStream::contextTokens() const
 {
     return promptTokens_ + static_cast<std::int64_t>(machine_.position);
 }
@@ -70,28 +70,29 @@
     const auto next = hooks_.onMove();
     if (!next) {
         failedMoves_++;
-        apply(onMovePrepared(machine_, NoLeg));
+        apply(onMovePrepared(machine_, NoAttempt));
         return;
     }
-    prepared_ = addLeg(next->server, next->request.requestId, moveWay_);
-    legs_[prepared_].request = next->request;
-    if (moveWay_ == RecoveryWay::MoveKv) {
-        exportFrom(machine_.current, prepared_);
+    preparedAttempt_ = addAttempt(next->server, next->request.requestId, moveMethod_);
+    attempts_[preparedAttempt_].request = next->request;
+    if (moveMethod_ == RecoveryMethod::MoveKv) {
+        exportKvFrom(machine_.current, preparedAttempt_);
     } else {
-        startSuccessor(prepared_, {});
+        startSuccessor(preparedAttempt_, {});
     }
 }
 
-void RecoveringStream::exportFrom(LegId from, LegId to)
+void RecoveringStream::exportKvFrom(AttemptId from, AttemptId to)
 {
     RecoveryEstimates &estimates = *tools_.estimates;
-    const std::int64_t bytes = expectedKvBytes(estimates, tokensKnown()) + 1;
-    const std::int64_t beside = estimates.kvBytesInFlight;
+    const std::int64_t bytes = expectedKvBytes(estimates, contextTokens()) + 1;
+    const std::int64_t concurrentBytes = estimates.kvBytesInFlight;
     estimates.kvBytesInFlight += bytes;
     estimates.transfersInFlight++;
     isExporting_ = true;
-    const Leg &leg = legs_[from];
-    const auto done = [self = shared_from_this(), to, bytes, beside, since = tools_.loop->now(), requestId = leg.requestId](std::optional<std::string> cache) {
+    const Attempt &attempt = attempts_[from];
+    const auto done = [self = shared_from_this(), to, bytes, concurrentBytes, since = tools_.loop->now(), requestId = attempt.requestId](
+                          std::optional<std::string> cache) {
         self->endTransfer(bytes);
         if (self->machine_.ended || !std::exchange(self->isExporting_, false)) {
             return;
@@ -100,48 +101,48 @@
             self->startSuccessor(to, {});
             return;
         }
-        self->importInto(to, requestId, std::move(*cache), since, beside);
+        self->importKvInto(to, requestId, std::move(*cache), since, concurrentBytes);
     };
-    tools_.direct->exportKv(leg.server, leg.requestId, static_cast<std::size_t>(LargestCache), TransferTimeout, done);
+    tools_.direct->exportKv(attempt.server, attempt.requestId, static_cast<std::size_t>(MaxTransferBytes), TransferTimeout, done);
 }
 
-void RecoveringStream::importInto(LegId to, const std::string &fromRequestId, std::string cache, TimePoint since, std::int64_t beside)
+void RecoveringStream::importKvInto(AttemptId to, const std::string &fromRequestId, std::string cache, TimePoint since, std::int64_t concurrentBytes)
 {
     const auto bytes = static_cast<std::int64_t>(cache.size());
     tools_.estimates->kvBytesInFlight += bytes;
     tools_.estimates->transfersInFlight++;
-    const std::int64_t tokens = tokensKnown();
-    const auto done = [self = shared_from_this(), to, bytes, beside, since, tokens, fromRequestId](bool accepted) {
+    const std::int64_t tokens = contextTokens();
+    const auto done = [self = shared_from_this(), to, bytes, concurrentBytes, since, tokens, fromRequestId](bool accepted) {
         self->endTransfer(bytes);
         if (self->machine_.ended) {
             return;
         }
         if (accepted) {
             const auto took = std::chrono::duration_cast<Duration>(self->tools_.loop->now() - since);
-            learnTransfer(*self->tools_.estimates, tokens, bytes, beside, took);
+            recordTransfer(*self->tools_.estimates, tokens, bytes, concurrentBytes, took);
         }
         self->startSuccessor(to, accepted ? fromRequestId : std::string());
     };
-    tools_.direct->importKv(legs_[to].server, fromRequestId, std::move(cache), TransferTimeout, done);
+    tools_.direct->importKv(attempts_[to].server, fromRequestId, std::move(cache), TransferTimeout, done);
 }
 
 void RecoveringStream::endTransfer(std::int64_t bytes)
 {
     tools_.estimates->kvBytesInFlight -= bytes;
     tools_.estimates->transfersInFlight--;
-    tools_.lookAgain();
+    tools_.onTransferEnded();
 }
 
-void RecoveringStream::startSuccessor(LegId id, const std::string &kvFrom)
+void RecoveringStream::startSuccessor(AttemptId id, const std::string &kvFrom)
 {
-    Leg &leg = legs_[id];
-    leg.way = kvFrom.empty() ? RecoveryWay::Recompute : RecoveryWay::MoveKv;
-    engine::EngineRequest request = std::move(leg.request);
+    Attempt &attempt = attempts_[id];
+    attempt.method = kvFrom.empty() ? RecoveryMethod::Recompute : RecoveryMethod::MoveKv;
+    engine::EngineRequest request = std::move(attempt.request);
     const auto soFar = hooks_.soFar();
     request.continueTokens.assign(soFar.begin(), soFar.end());
     request.kvFrom = kvFrom;
-    prepared_ = NoLeg;
-    startLeg(id, request);
+    preparedAttempt_ = NoAttempt;
+    startAttempt(id, request);
     apply(onMovePrepared(machine_, id));
 }
 
--- a/src/retry/tests/retrydecision_test.cpp
+++ b/src/retry/tests/retrydecision_test.cpp
@@ -10,31 +10,32 @@
 
 namespace {
 
-RetryQuestion question(Evidence evidence)
+RetryContext failedRequest(FailureKind failure)
 {
-    RetryQuestion result;
+    RetryContext result;
     result.attempts = 1;
-    result.evidence = evidence;
+    result.failure = failure;
     result.serversLeft = 3;
     return result;
 }
 
 } // namespace
 
-TEST(RetryDecision, NeverRepeatsWhatMayHaveRunAndMayNotRepeat)
+TEST(RetryDecision, NeverRetriesANonIdempotentRequestThatMayHaveRun)
 {
     // Every combination of the other properties.
-    for (const Evidence evidence : {Evidence::NotSent, Evidence::Refused, Evidence::Leaving, Evidence::TimedOut, Evidence::Broken}) {
+    for (const FailureKind failure :
+        {FailureKind::NotSent, FailureKind::Refused, FailureKind::ServerLeaving, FailureKind::TimedOut, FailureKind::ConnectionBroken}) {
         for (int bits = 0; bits < 16; bits++) {
             RetryBudget budget = RetryBudget::create({});
-            RetryQuestion asked = question(evidence);
-            asked.idempotent = false;
-            asked.accepted = (bits & 1) != 0;
-            asked.serversLeft = (bits & 2) != 0 ? 3 : 0;
-            asked.attempts = (bits & 4) != 0 ? 1 : MostAttemptsAccepted;
-            asked.timeLeft = (bits & 8) != 0 ? std::optional<Duration>(std::chrono::seconds(1)) : std::nullopt;
-            const RetryDecision decision = decideRetry(asked, budget, {"a", true});
-            if (evidence != Evidence::NotSent && evidence != Evidence::Refused) {
+            RetryContext context = failedRequest(failure);
+            context.idempotent = false;
+            context.accepted = (bits & 1) != 0;
+            context.serversLeft = (bits & 2) != 0 ? 3 : 0;
+            context.attempts = (bits & 4) != 0 ? 1 : MaxAttemptsAccepted;
+            context.timeLeft = (bits & 8) != 0 ? std::optional<Duration>(std::chrono::seconds(1)) : std::nullopt;
+            const RetryDecision decision = decideRetry(context, budget, {"a", true});
+            if (failure != FailureKind::NotSent && failure != FailureKind::Refused) {
                 EXPECT_EQ(decision.action, RetryAction::GiveUp);
                 EXPECT_EQ(decision.refusalReason, RefusalReason::OutcomeUnknown);
                 EXPECT_EQ(decision.retryAfter.count(), 0);
@@ -43,60 +44,60 @@
     }
 }
 
-TEST(RetryDecision, TellsAtOnceWhenThereIsNoChance)
+TEST(RetryDecision, GivesUpWithoutServersOrTime)
 {
     RetryBudget budget = RetryBudget::create({});
-    RetryQuestion none = question(Evidence::NotSent);
-    none.serversLeft = 0;
-    EXPECT_EQ(decideRetry(none, budget, {"a"}).refusalReason, RefusalReason::NoBackend);
-    EXPECT_GT(decideRetry(none, budget, {"a"}).retryAfter.count(), 0);
-    RetryQuestion late = question(Evidence::NotSent);
+    RetryContext noServers = failedRequest(FailureKind::NotSent);
+    noServers.serversLeft = 0;
+    EXPECT_EQ(decideRetry(noServers, budget, {"a"}).refusalReason, RefusalReason::NoBackend);
+    EXPECT_GT(decideRetry(noServers, budget, {"a"}).retryAfter.count(), 0);
+    RetryContext late = failedRequest(FailureKind::NotSent);
     late.timeLeft = std::chrono::milliseconds(10);
     late.expectedDelay = std::chrono::milliseconds(20);
     EXPECT_EQ(decideRetry(late, budget, {"a"}).refusalReason, RefusalReason::DeadlineImpossible);
     EXPECT_GT(decideRetry(late, budget, {"a"}).retryAfter.count(), 0);
-    // An accepted answer is finished, even late.
+    // An accepted answer is completed even after its deadline.
     late.accepted = true;
     EXPECT_EQ(decideRetry(late, budget, {"a"}).action, RetryAction::RetryNow);
 }
 
-TEST(RetryDecision, UrgentKeepsAReserveAndCustomersTheirShare)
+TEST(RetryDecision, UrgentRequestsHaveAReserveAndEachCustomerALimit)
 {
-    const BudgetRule rule;
-    RetryBudget budget = RetryBudget::create(rule);
-    int deferrable = 0;
-    while (decideRetry(question(Evidence::Refused), budget, {"a", false}).action == RetryAction::RetryNow) {
-        deferrable++;
+    const RetryBudgetSettings settings;
+    RetryBudget budget = RetryBudget::create(settings);
+    int retriesOfA = 0;
+    while (decideRetry(failedRequest(FailureKind::Refused), budget, {"a", false}).action == RetryAction::RetryNow) {
+        retriesOfA++;
     }
-    EXPECT_EQ(deferrable, static_cast<int>(rule.customerMost));
-    int other = 0;
-    while (decideRetry(question(Evidence::Refused), budget, {"b", false}).action == RetryAction::RetryNow) {
-        other++;
+    EXPECT_EQ(retriesOfA, static_cast<int>(settings.maxCustomerCredit));
+    int retriesOfB = 0;
+    while (decideRetry(failedRequest(FailureKind::Refused), budget, {"b", false}).action == RetryAction::RetryNow) {
+        retriesOfB++;
     }
-    EXPECT_EQ(other, static_cast<int>(rule.most - rule.urgentReserve - rule.customerMost));
-    EXPECT_EQ(decideRetry(question(Evidence::Refused), budget, {"c", true}).action, RetryAction::RetryNow);
+    EXPECT_EQ(retriesOfB, static_cast<int>(settings.maxCredit - settings.urgentReserve - settings.maxCustomerCredit));
+    EXPECT_EQ(decideRetry(failedRequest(FailureKind::Refused), budget, {"c", true}).action, RetryAction::RetryNow);
 }
 
-TEST(RetryDecision, AttemptsStayUnderTheBoundWhateverFails)
+TEST(RetryDecision, AttemptsStayWithinTheBudgetAtAnyFailureRate)
 {
-    const BudgetRule rule;
+    const RetryBudgetSettings settings;
     for (unsigned seed = 0; seed < 20; seed++) {
-        RetryBudget budget = RetryBudget::create(rule);
+        RetryBudget budget = RetryBudget::create(settings);
         std::mt19937 random(seed);
-        const double failing = seed / 19.0;
-        std::bernoulli_distribution fails(failing);
+        const double failureRate = seed / 19.0;
+        std::bernoulli_distribution fails(failureRate);
         const int requests = 2000;
         int attempts = 0;
         for (int i = 0; i < requests; i++) {
-            const BudgetShare share{std::string(1, static_cast<char>('a' + random() % 5)), random() % 4 == 0};
-            budget.earn(share.customer);
-            RetryQuestion asked = question(Evidence::NotSent);
+            const RetryRequester requester{std::string(1, static_cast<char>('a' + random() % 5)), random() % 4 == 0};
+            budget.addRequest(requester.customer);
+            RetryContext context = failedRequest(FailureKind::NotSent);
             attempts++;
-            while (fails(random) && decideRetry(asked, budget, share).action == RetryAction::RetryNow) {
-                asked.attempts++;
+            while (fails(random) && decideRetry(context, budget, requester).action == RetryAction::RetryNow) {
+                context.attempts++;
                 attempts++;
             }
         }
-        EXPECT_LE(attempts, requests * (1 + rule.earnedPerRequest) + rule.most) << "share failing: " << failing;
+        EXPECT_LE(attempts, requests * (1 + settings.creditPerRequest) + settings.maxCredit) << "failure rate: " << failureRate;
     }
 }
--- a/src/streams/internal/streamsession.cpp
+++ b/src/streams/internal/streamsession.cpp
@@ -11,10 +11,10 @@
 
 namespace {
 
-constexpr std::size_t BytesPerToken = 4;
-constexpr int UnknownStream = 404;
+constexpr std::size_t BytesPerToken = 4; ///< Estimate for prompts.
+constexpr int StreamNotFoundStatus = 404;
 
-routing::AttemptEnd attemptEnd(engine::StreamEnd end)
+routing::AttemptEnd toAttemptEnd(engine::StreamEnd end)
 {
     switch (end) {
     case engine::StreamEnd::Finished:
@@ -30,15 +30,15 @@
     return routing::AttemptEnd::Failed;
 }
 
-retry::Evidence evidenceOf(const engine::EngineResult &result)
+retry::FailureKind failureKindOf(const engine::EngineResult &result)
 {
     if (!result.wasConnected) {
-        return retry::Evidence::NotSent;
+        return retry::FailureKind::NotSent;
     }
     if (result.end == engine::StreamEnd::Refused) {
-        return retry::Evidence::Refused;
+        return retry::FailureKind::Refused;
     }
-    return result.timedOut ? retry::Evidence::TimedOut : retry::Evidence::Broken;
+    return result.timedOut ? retry::FailureKind::TimedOut : retry::FailureKind::ConnectionBroken;
 }
 
 } // namespace
@@ -54,7 +54,7 @@
 
 void StreamSession::start()
 {
-    tryNext();
+    startNextAttempt();
 }
 
 retry::RequestRecord StreamSession::newRecord() const
@@ -68,9 +68,9 @@
     record.fingerprint = suspects::fingerprintOf(state_.customer, state_.model, state_.messagesJson);
     record.position = state_.tokens.size();
     record.accepted = !state_.tokens.empty();
-    record.deadline = state_.firstTokenBy;
+    record.deadline = state_.firstTokenDeadline;
     for (const Attempt &attempt : state_.attempts) {
-        if (!attempt.isForgotten) {
+        if (!attempt.isUnknownToServer) {
             record.tried.push_back(attempt.server);
         }
     }
@@ -79,15 +79,15 @@
 
 std::optional<engine::NextAttempt> StreamSession::nextAttempt()
 {
-    const auto server = ended_ ? std::nullopt : tools_.planner->move(record_);
+    const auto server = ended_ ? std::nullopt : tools_.planner->planMove(record_);
     if (!server) {
         return std::nullopt;
     }
     server_ = server;
-    return engine::NextAttempt{*server, beginAttempt(*server)};
+    return engine::NextAttempt{*server, addAttempt(*server)};
 }
 
-void StreamSession::follow(const retry::AttemptPlan &plan)
+void StreamSession::applyPlan(const retry::AttemptPlan &plan)
 {
     if (plan.kind == retry::PlanKind::GiveUp) {
         fail({plan.reason, plan.message, plan.retryAfter});
@@ -95,32 +95,33 @@
     }
     tools_.loop->after(plan.wait, [self = shared_from_this()] {
         if (self->isDetached_) {
-            self->isDormant_ = true;
+            self->isWaitingForReader_ = true;
         } else if (!self->ended_) {
-            self->tryNext();
+            self->startNextAttempt();
         }
     });
 }
 
-void StreamSession::tryNext()
+void StreamSession::startNextAttempt()
 {
-    const retry::AttemptPlan plan = tools_.planner->next(record_);
+    const retry::AttemptPlan plan = tools_.planner->planAttempt(record_);
     if (plan.kind != retry::PlanKind::Try) {
-        follow(plan);
+        applyPlan(plan);
         return;
     }
     server_ = plan.server;
-    const engine::EngineRequest request = beginAttempt(*server_);
-    if (viewPosition_ > state_.tokens.size()) {
-        // The caller has seen tokens that this VM never had: they are made again. (The engine client counts the others.)
-        tools_.metrics->add("tokens_recomputed_total", viewPosition_ - state_.tokens.size());
+    const engine::EngineRequest request = addAttempt(*server_);
+    if (observerPosition_ > state_.tokens.size()) {
+        // The caller has received tokens that this VM does not have; they are computed again. The engine client counts
+        // the recomputed tokens of the prompt and of the known output.
+        tools_.metrics->add("tokens_recomputed_total", observerPosition_ - state_.tokens.size());
     }
-    positionsHeard_ = 0;
+    receivedEnd_ = 0;
     isJoining_ = false;
-    call_ = tools_.engine->start(*server_, request, hooksOf(++run_));
+    call_ = tools_.engine->start(*server_, request, makeHooks(++engineStream_));
 }
 
-engine::EngineRequest StreamSession::beginAttempt(const membership::Vm &server)
+engine::EngineRequest StreamSession::addAttempt(const membership::Vm &server)
 {
     const std::size_t number = state_.attempts.size();
     state_.attempts.push_back({server.instance, fmt::format("{}-{}", state_.requestId, number)});
@@ -132,8 +133,8 @@
     request.priority = state_.priority;
     request.requestId = state_.attempts.back().engineRequestId;
     request.continueTokens = state_.tokens;
-    if (number > 0 && attemptHandler_) {
-        attemptHandler_();
+    if (number > 0 && newAttemptHandler_) {
+        newAttemptHandler_();
     }
     return request;
 }
@@ -144,32 +145,32 @@
         end();
         return;
     }
-    // Its caller has seen a part of the answer.
+    // The caller may have received a part of the answer already, so the request counts as accepted.
     record_.accepted = true;
     if (state_.attempts.empty()) {
-        tryNext();
+        startNextAttempt();
         return;
     }
     const membership::Vm *server = tools_.members->find(state_.attempts.back().server);
     if (!server || server->state == membership::VmState::Gone) {
-        tryNext();
+        startNextAttempt();
         return;
     }
     server_ = *server;
     isJoining_ = true;
-    tools_.planner->joined(record_, *server_);
+    tools_.planner->adoptAttempt(record_, *server_);
     tools_.metrics->add("streams_joined_total");
-    call_ = tools_.engine->resume(*server_, state_.attempts.back().engineRequestId, state_.tokens.size(), hooksOf(++run_));
+    call_ = tools_.engine->resume(*server_, state_.attempts.back().engineRequestId, state_.tokens.size(), makeHooks(++engineStream_));
 }
 
-engine::EngineHooks StreamSession::hooksOf(std::size_t run)
+engine::EngineHooks StreamSession::makeHooks(std::size_t engineStream)
 {
     engine::EngineHooks hooks;
-    hooks.onToken = [self = shared_from_this(), run](const engine::Token &token) {
-        self->onToken(run, token);
+    hooks.onToken = [self = shared_from_this(), engineStream](const engine::Token &token) {
+        self->onToken(engineStream, token);
     };
-    hooks.onEnd = [self = shared_from_this(), run](const engine::EngineResult &result) {
-        self->onEnd(run, result);
+    hooks.onEnd = [self = shared_from_this(), engineStream](const engine::EngineResult &result) {
+        self->onEnd(engineStream, result);
     };
     hooks.onMove = [self = shared_from_this()] {
         return self->nextAttempt();
@@ -178,103 +179,104 @@
         return std::span<const std::string>(self->state_.tokens);
     };
     hooks.onLeft = [self = shared_from_this()](const std::string &instance, engine::StreamEnd end) {
-        self->tools_.planner->left(self->record_, instance, attemptEnd(end));
+        self->tools_.planner->attemptReplaced(self->record_, instance, toAttemptEnd(end));
     };
     hooks.onBroken = [self = shared_from_this()](const std::string &instance) {
-        self->tools_.planner->broken(instance);
+        self->tools_.planner->connectionBroken(instance);
     };
     return hooks;
 }
 
-void StreamSession::onToken(std::size_t run, const engine::Token &token)
+void StreamSession::onToken(std::size_t engineStream, const engine::Token &token)
 {
-    // A late byte of an earlier run, or a position that was seen already.
-    if (ended_ || run != run_) {
+    // Ignore late tokens of an earlier engine stream.
+    if (ended_ || engineStream != engineStream_) {
         return;
     }
-    positionsHeard_ = std::max(positionsHeard_, token.position + 1);
+    receivedEnd_ = std::max(receivedEnd_, token.position + 1);
+    // Drop duplicates and tokens after a gap.
     if (token.position != state_.tokens.size()) {
         return;
     }
     isJoining_ = false;
     state_.tokens.push_back(token.text);
     tools_.planner->progressed(record_, state_.tokens.size());
-    const auto view = view_;
-    if (view && viewPosition_ == token.position) {
-        viewPosition_++;
-        view->onToken(token.position, token.text);
+    const auto observer = observer_;
+    if (observer && observerPosition_ == token.position) {
+        observerPosition_++;
+        observer->onToken(token.position, token.text);
     }
 }
 
-void StreamSession::onEnd(std::size_t run, const engine::EngineResult &result)
+void StreamSession::onEnd(std::size_t engineStream, const engine::EngineResult &result)
 {
-    const bool isLast = !ended_ && run == run_;
+    const bool isCurrent = !ended_ && engineStream == engineStream_;
     const bool isFinal = result.end == engine::StreamEnd::Finished || result.end == engine::StreamEnd::Rejected;
-    if (!isLast || isFinal) {
-        tools_.planner->ended(record_, result.server, attemptEnd(result.end));
+    if (!isCurrent || isFinal) {
+        tools_.planner->attemptEnded(record_, result.server, toAttemptEnd(result.end));
     }
-    if (!isLast) {
+    if (!isCurrent) {
         return;
     }
-    // NOTE An end with a token missing is no end: the rest comes from another attempt.
-    if (result.end == engine::StreamEnd::Finished && positionsHeard_ <= state_.tokens.size()) {
+    // NOTE If a token is missing, the answer is incomplete: the rest comes from another attempt.
+    if (result.end == engine::StreamEnd::Finished && receivedEnd_ <= state_.tokens.size()) {
         state_.finished = true;
         state_.finishReason = result.finishReason;
         state_.promptTokens = result.promptTokens;
         state_.cachedTokens = result.cachedTokens;
-        if (const auto view = view_) {
-            view->onFinished();
+        if (const auto observer = observer_) {
+            observer->onFinished();
         }
         end();
         return;
     }
-    // NOTE By the status: a client that looked for another way first reports a broken stream.
-    const bool isForgotten = isJoining_ && result.status == UnknownStream;
-    if (isForgotten) {
-        state_.attempts.back().isForgotten = true;
+    // NOTE Checks the status and not the end: a client that first tried another recovery method reports a broken stream.
+    const bool isUnknownToServer = isJoining_ && result.status == StreamNotFoundStatus;
+    if (isUnknownToServer) {
+        state_.attempts.back().isUnknownToServer = true;
         std::erase(record_.tried, result.server);
     } else if (result.end == engine::StreamEnd::Rejected) {
         fail({metrics::RefusalReason::BadField, "The engine rejected the request.", Duration(0)});
         return;
     }
-    partLogger("streams")->info("An attempt failed. request={} server={} status={} error={}", state_.requestId, result.server, result.status, result.error);
-    const retry::Evidence evidence = isForgotten ? retry::Evidence::Refused : evidenceOf(result);
-    const retry::AttemptPlan plan = tools_.planner->failed(record_, result.server, evidence);
+    partLogger("streams")->info("Attempt failed. request={} server={} status={} error={}", state_.requestId, result.server, result.status, result.error);
+    const retry::FailureKind failure = isUnknownToServer ? retry::FailureKind::Refused : failureKindOf(result);
+    const retry::AttemptPlan plan = tools_.planner->attemptFailed(record_, result.server, failure);
     if (isDetached_) {
-        isDormant_ = true;
+        isWaitingForReader_ = true;
         return;
     }
-    follow(plan);
+    applyPlan(plan);
 }
 
-void StreamSession::attach(std::uint64_t position, StreamView view)
+void StreamSession::attach(std::uint64_t position, StreamObserver observer)
 {
-    const auto replaced = std::exchange(view_, std::make_shared<StreamView>(std::move(view)));
+    const auto replaced = std::exchange(observer_, std::make_shared<StreamObserver>(std::move(observer)));
     if (replaced && replaced->onReplaced) {
         replaced->onReplaced();
     }
     isDetached_ = false;
-    viewPosition_ = position;
-    const auto reader = view_;
-    while (view_ == reader && viewPosition_ < state_.tokens.size()) {
-        const std::uint64_t next = viewPosition_++;
+    observerPosition_ = position;
+    const auto reader = observer_;
+    while (observer_ == reader && observerPosition_ < state_.tokens.size()) {
+        const std::uint64_t next = observerPosition_++;
         reader->onToken(next, state_.tokens[next]);
     }
-    if (view_ != reader) {
+    if (observer_ != reader) {
         return;
     }
     if (state_.finished) {
         reader->onFinished();
     } else if (failure_) {
         reader->onFailed(*failure_);
-    } else if (std::exchange(isDormant_, false)) {
-        tryNext();
+    } else if (std::exchange(isWaitingForReader_, false)) {
+        startNextAttempt();
     }
 }
 
 void StreamSession::detach()
 {
-    view_.reset();
+    observer_.reset();
     isDetached_ = true;
 }
 
@@ -294,17 +296,17 @@
     end();
 }
 
-bool StreamSession::goesOnElsewhere() const
+bool StreamSession::wasHandedOver() const
 {
-    return goesOnElsewhere_;
+    return wasHandedOver_;
 }
 
-void StreamSession::leave()
+void StreamSession::handOver()
 {
-    const auto reader = std::exchange(view_, nullptr);
+    const auto reader = std::exchange(observer_, nullptr);
     if (!ended_) {
         tools_.engine->leave(call_);
-        goesOnElsewhere_ = true;
+        wasHandedOver_ = true;
         end();
     }
     if (reader && reader->onReplaced) {
@@ -344,14 +346,14 @@
 
 void StreamSession::onNewAttempt(std::function<void()> handler)
 {
-    attemptHandler_ = std::move(handler);
+    newAttemptHandler_ = std::move(handler);
 }
 
 void StreamSession::fail(const StreamFailure &failure)
 {
     failure_ = failure;
-    if (const auto view = view_) {
-        view->onFailed(failure);
+    if (const auto observer = observer_) {
+        observer->onFailed(failure);
     }
     end();
 }
