--- a/src/bench/admission/fleetlimits.cpp
+++ b/src/bench/admission/fleetlimits.cpp
@@ -40,7 +40,7 @@
             "limits": {{"requestsPerSecond": {}, "openRequests": 10000, "tokensPerMinute": 1000000}},
             "spending": {{"perDayCents": 100, "centsPerMillionTokens": 1, "centsPerThousandCalls": 1}}}})",
             PerSecond);
-        contracts_->offer(version);
+        contracts_->applyIfNewer(version);
         std::vector<membership::Vm> list;
         for (std::size_t i = 0; i < Vms; i++) {
             list.push_back({fmt::format("entry-{}", i), "127.0.0.1", 1, 1, "zone-1"});
--- a/src/cli/editcommands.cpp
+++ b/src/cli/editcommands.cpp
@@ -177,7 +177,7 @@
             continue;
         }
         std::cout << fmt::format("{} against version {} by {}:\n{}", file.path, newest->version, newest->version == 0 ? "nobody" : newest->author, changes);
-        const auto places = contract::ContractPlaces::read(file.path, file.text);
+        const auto places = contract::ContractLocations::read(file.path, file.text);
         std::cout << formatFindings(contract::dangerousChanges(file.path, before, wanted, places));
     }
     return ExitOk;
--- a/src/contract/contractexchange.h
+++ b/src/contract/contractexchange.h
@@ -22,7 +22,7 @@
 } // namespace wire
 
 /// What one entry VM has in force, as far as this VM knows.
-struct VmInForce {
+struct VmRevision {
     std::string instance;
     std::string zone;
     std::uint64_t revision = 0; ///< At least this.
@@ -57,12 +57,12 @@
     static std::shared_ptr<ContractExchange> create(ExchangeTools tools);
 
     void start();
-    FreshnessFacts facts() const;
+    FreshnessInputs freshnessInputs() const;
     FreshnessReason freshness() const;
     /// All live entry VMs of the list, this one first.
-    std::vector<VmInForce> where() const;
+    std::vector<VmRevision> vmRevisions() const;
     /// Asks VMs that are not known to have @p revision, a few of them.
-    void chase(std::uint64_t revision);
+    void promptLaggingPeers(std::uint64_t revision);
     const ExchangeCounters &counters() const;
 
 private:
--- a/src/contract/contractmodule.cpp
+++ b/src/contract/contractmodule.cpp
@@ -66,7 +66,7 @@
         };
         auto exchange = ContractExchange::create(tools);
         serveWhileFresh(*context.get<lifecycle::Lifecycle>(), *sync, exchange);
-        sync->start(context.get<settings::Settings>()->instance, [exchange] { return exchange->facts().listed; });
+        sync->start(context.get<settings::Settings>()->instance, [exchange] { return exchange->freshnessInputs().listed; });
         exchange->start();
         publishFigures(*context.get<metrics::Metrics>(), loop, set, exchange);
         context.set(exchange);
--- a/src/contract/contractreader.h
+++ b/src/contract/contractreader.h
@@ -13,11 +13,11 @@
 Contract readContract(const std::string &file, const std::string &text, Findings &findings);
 
 /// Where each value of a contract stands, by its path as in "limits.openRequests" or "models.proofreader.class".
-class ContractPlaces
+class ContractLocations
 {
 public:
     /// Of a text that readContract() takes without errors.
-    static ContractPlaces read(const std::string &file, const std::string &text);
+    static ContractLocations read(const std::string &file, const std::string &text);
     /// Puts the place of @p path into @p finding; of the nearest enclosing value if the path is not in the text.
     void place(Finding &finding, std::string path) const;
 
@@ -31,7 +31,7 @@
 
 /// Changes from @p before to @p after that look like a slip: a bound cut to zero, a number changed by a thousand or
 /// more, a model or service taken away. All with Severity::Danger, at their places in the text of @p after.
-Findings dangerousChanges(const std::string &file, const Contract &before, const Contract &after, const ContractPlaces &places = {});
+Findings dangerousChanges(const std::string &file, const Contract &before, const Contract &after, const ContractLocations &places = {});
 
 /// The changes as "path: before -> after", one a line; empty if nothing that counts has changed.
 std::string describeChanges(const Contract &before, const Contract &after);
--- a/src/contract/contractset.h
+++ b/src/contract/contractset.h
@@ -26,7 +26,7 @@
 
     /// Puts @p version in force unless this or a newer one is; says whether it did. A text that can't be read is kept
     /// out, with a log line: it can't come from our own tools.
-    bool offer(const ContractVersion &version);
+    bool applyIfNewer(const ContractVersion &version);
     std::shared_ptr<const ContractInForce> find(std::string_view customer) const;
     /// The contract whose key has this SHA-256, or null. If two contracts have it (an edit with such a key is refused, but
     /// two may race), it is on every VM the customer whose name sorts first.
--- a/src/contract/contractstore.h
+++ b/src/contract/contractstore.h
@@ -36,7 +36,7 @@
 };
 
 /// Findings against an edit, given the version it replaces; null if there is none.
-using EditJudge = std::function<Findings(const ContractVersion *replaced)>;
+using EditValidator = std::function<Findings(const ContractVersion *replaced)>;
 using EditHandler = std::function<void(EditResult result)>;
 using VersionsHandler = std::function<void(Result<std::vector<ContractVersion>> versions)>;
 using RevisionHandler = std::function<void(Result<std::uint64_t> revision)>;
@@ -50,7 +50,7 @@
     static std::shared_ptr<ContractStore> create(EventLoop &loop, std::shared_ptr<table::Table> table);
 
     /// @p judge sees the version in the table that the edit replaces, whatever this VM has in force.
-    void apply(Edit edit, EditJudge judge, EditHandler handler);
+    void apply(Edit edit, EditValidator judge, EditHandler handler);
     /// The newest revision; 0 if there is none.
     void headRevision(RevisionHandler handler);
     /// The current version of every customer.
--- a/src/contract/contractsync.h
+++ b/src/contract/contractsync.h
@@ -16,7 +16,7 @@
 Duration pollPeriod(std::size_t listed);
 /// The pause before reading number @p count of a VM: between half and one and a half @p period, so that VMs started
 /// together don't read together.
-Duration pollPause(Duration period, std::string_view instance, std::uint64_t count);
+Duration pollDelay(Duration period, std::string_view instance, std::uint64_t count);
 
 /// Brings accepted edits from the table into the ContractSet of this VM, and keeps how current that is.
 class ContractSync
@@ -27,9 +27,9 @@
     /// @p instance is this VM; @p listed gives the number of live entry VMs.
     void start(std::string instance, std::function<std::size_t()> listed);
     /// True once all contracts are known, from the table or from peers.
-    bool hasAll() const;
+    bool hasAllContracts() const;
     /// All contracts are known from peers.
-    void setHasAll();
+    void setHasAllContracts();
     /// Called once, when hasAll() turns true.
     void onReady(std::function<void()> handler);
     /// Reads now instead of at the next period.
@@ -54,7 +54,7 @@
     std::uint64_t polls_ = 0;
     std::function<void()> readyHandler_;
     std::optional<TimePoint> confirmedAsOf_;
-    bool hasAll_ = false;
+    bool hasAllContracts_ = false;
     bool busy_ = false;
 };
 
--- a/src/contract/editcheck.h
+++ b/src/contract/editcheck.h
@@ -8,7 +8,7 @@
 namespace cardamomlift::contract {
 
 /// An edit to be checked.
-struct EditText {
+struct ProposedEdit {
     std::string file; ///< Named in the findings.
     std::string customer;
     std::string text;
@@ -19,6 +19,6 @@
 
 /// All that speaks against an edit; none: it may be accepted. The tool and the daemon refuse by this one function.
 /// @p replaced is the version that the edit replaces, or null; @p others are contracts whose API keys it may not use.
-Findings checkEdit(const EditText &edit, const ContractVersion *replaced, ContractsInForce others);
+Findings checkEdit(const ProposedEdit &edit, const ContractVersion *replaced, ContractsInForce others);
 
 } // namespace cardamomlift::contract
--- a/src/contract/freshness.h
+++ b/src/contract/freshness.h
@@ -12,8 +12,8 @@
 inline constexpr Duration FreshnessBound = std::chrono::seconds(4);
 
 /// What a VM knows about how current its contracts are. Ages are on the runtime's clock.
-struct FreshnessFacts {
-    bool hasAll = false; ///< Every contract was read once, from the table or from enough peers.
+struct FreshnessInputs {
+    bool hasAllContracts = false; ///< Every contract was read once, from the table or from enough peers.
     std::optional<Duration> tableAge; ///< So long ago the table held no edit that is missing here, as read here or by a peer.
     bool listKnown = false; ///< The platform's list of VMs was read.
     std::size_t listed = 1; ///< Live entry VMs on it, this one counted.
@@ -31,11 +31,11 @@
 /// Entry VMs, this one counted, that a decision needs out of @p listed: more than half.
 std::size_t majorityOf(std::size_t listed);
 /// True if this VM and those it hears are a majority: then it may accept an edit.
-bool hearsMajority(const FreshnessFacts &facts);
+bool hearsMajority(const FreshnessInputs &inputs);
 /// True if a VM without contracts has got them all from its peers: from a majority, itself not counted, or from all.
-bool completeFromPeers(const FreshnessFacts &facts);
+bool completeFromPeers(const FreshnessInputs &inputs);
 /// Why this VM may take new work, or why not.
-FreshnessReason judgeFreshness(const FreshnessFacts &facts);
+FreshnessReason evaluateFreshness(const FreshnessInputs &inputs);
 bool mayTakeNewWork(FreshnessReason reason);
 std::string_view freshnessName(FreshnessReason reason);
 
--- a/src/contract/internal/contractchange.cpp
+++ b/src/contract/internal/contractchange.cpp
@@ -99,7 +99,7 @@
 
 } // namespace
 
-Findings dangerousChanges(const std::string &file, const Contract &before, const Contract &after, const ContractPlaces &places)
+Findings dangerousChanges(const std::string &file, const Contract &before, const Contract &after, const ContractLocations &places)
 {
     Findings findings;
     const auto report = [&](const std::string &path, const std::string &what, const std::string &remedy) {
--- a/src/contract/internal/contractexchange.cpp
+++ b/src/contract/internal/contractexchange.cpp
@@ -113,15 +113,15 @@
     return tools_.loop->now() - *asOf;
 }
 
-FreshnessFacts ContractExchange::facts() const
+FreshnessInputs ContractExchange::freshnessInputs() const
 {
-    FreshnessFacts facts;
-    facts.hasAll = tools_.sync->hasAll();
-    facts.tableAge = tableAge();
-    facts.listKnown = tools_.listKnown();
-    facts.listed = peers_.size() + 1;
+    FreshnessInputs inputs;
+    inputs.hasAllContracts = tools_.sync->hasAllContracts();
+    inputs.tableAge = tableAge();
+    inputs.listKnown = tools_.listKnown();
+    inputs.listed = peers_.size() + 1;
     TimePoint oldest = tools_.loop->now() - FreshnessBound;
-    if (!facts.hasAll) {
+    if (!inputs.hasAllContracts) {
         // NOTE What peers last heard of one another before this VM started says nothing about edits that only the VM
         // it replaces and one of them had.
         oldest = std::max(oldest, startedAt_);
@@ -129,27 +129,27 @@
     for (const Peer &peer : peers_) {
         const Beat *beat = beatOf(peer);
         const bool isHeard = beat && beat->asOf && *beat->asOf >= oldest;
-        facts.heard += isHeard ? 1 : 0;
+        inputs.heard += isHeard ? 1 : 0;
     }
-    return facts;
+    return inputs;
 }
 
 FreshnessReason ContractExchange::freshness() const
 {
     const auto age = tableAge();
-    if (tools_.sync->hasAll() && age && *age <= FreshnessBound) {
+    if (tools_.sync->hasAllContracts() && age && *age <= FreshnessBound) {
         return FreshnessReason::ConfirmedByTable; // The usual case, without looking at every VM.
     }
-    return judgeFreshness(facts());
+    return evaluateFreshness(freshnessInputs());
 }
 
-std::vector<VmInForce> ContractExchange::where() const
+std::vector<VmRevision> ContractExchange::vmRevisions() const
 {
-    std::vector<VmInForce> result;
+    std::vector<VmRevision> result;
     const membership::Vm *self = tools_.members->find(tools_.members->self());
     result.push_back({tools_.members->self(), self ? self->zone : "", tools_.set->revision(), Duration(0)});
     for (const Peer &peer : peers_) {
-        VmInForce entry{peer.vm.instance, peer.vm.zone, 0, std::nullopt};
+        VmRevision entry{peer.vm.instance, peer.vm.zone, 0, std::nullopt};
         if (const Beat *beat = beatOf(peer)) {
             entry.revision = beat->revision;
             if (beat->asOf) {
@@ -158,7 +158,7 @@
         }
         result.push_back(std::move(entry));
     }
-    std::sort(result.begin() + 1, result.end(), [](const VmInForce &a, const VmInForce &b) { return a.instance < b.instance; });
+    std::sort(result.begin() + 1, result.end(), [](const VmRevision &a, const VmRevision &b) { return a.instance < b.instance; });
     return result;
 }
 
@@ -182,7 +182,7 @@
         return;
     }
     logged_ = reason;
-    const FreshnessFacts now = facts();
+    const FreshnessInputs now = freshnessInputs();
     if (mayTakeNewWork(reason)) {
         partLogger("contract")->info("Takes new work. reason={} heard={} listed={}", freshnessName(reason), now.heard, now.listed);
     } else {
@@ -204,7 +204,7 @@
     }
 }
 
-void ContractExchange::chase(std::uint64_t revision)
+void ContractExchange::promptLaggingPeers(std::uint64_t revision)
 {
     std::size_t asked = 0;
     for (std::size_t i = 0; i < peers_.size() && asked < ChaseFanOut; i++) {
@@ -228,7 +228,7 @@
         return;
     }
     wire::PullRequest request;
-    request.set_revision(tools_.sync->hasAll() ? tools_.set->revision() : 0);
+    request.set_revision(tools_.sync->hasAllContracts() ? tools_.set->revision() : 0);
     request.set_after(after);
     request.set_wants_all_beats(isEager());
     const TimePoint asked = tools_.loop->now();
@@ -251,7 +251,7 @@
         return;
     }
     for (const wire::Version &version : reply.versions()) {
-        tools_.set->offer(fromWire(version));
+        tools_.set->applyIfNewer(fromWire(version));
     }
     if (reply.more() && reply.versions_size() > 0) {
         pull(peer, reply.versions(reply.versions_size() - 1).revision());
@@ -269,9 +269,9 @@
         const std::uint64_t lag = std::min(reply.beat_lags(i), reply.revision());
         merge(reply.beat_ids(i), reply.revision() - lag, asked - reply.beat_ages(i) * AgeUnit);
     }
-    if (!tools_.sync->hasAll() && completeFromPeers(facts())) {
+    if (!tools_.sync->hasAllContracts() && completeFromPeers(freshnessInputs())) {
         partLogger("contract")->info("All contracts come from peers. revision={}", tools_.set->revision());
-        tools_.sync->setHasAll();
+        tools_.sync->setHasAllContracts();
     }
     if (reply.has_table_age_ms()) {
         tools_.sync->confirm(asked - std::chrono::milliseconds(reply.table_age_ms()));
@@ -290,7 +290,7 @@
     if (asker && request.revision() > tools_.set->revision()) {
         pull(*asker, tools_.set->revision());
     }
-    if (!tools_.sync->hasAll()) {
+    if (!tools_.sync->hasAllContracts()) {
         return reply.SerializeAsString();
     }
     reply.set_complete(true);
--- a/src/contract/internal/contractplaces.cpp
+++ b/src/contract/internal/contractlocations.cpp
@@ -43,9 +43,9 @@
 
 } // namespace
 
-ContractPlaces ContractPlaces::read(const std::string &file, const std::string &text)
+ContractLocations ContractLocations::read(const std::string &file, const std::string &text)
 {
-    ContractPlaces result;
+    ContractLocations result;
     Findings findings;
     const auto json = settings::JsonText::parse(file, text, findings);
     if (!json || !json->root().isObject()) {
@@ -70,7 +70,7 @@
     return result;
 }
 
-void ContractPlaces::place(Finding &finding, std::string path) const
+void ContractLocations::place(Finding &finding, std::string path) const
 {
     while (true) {
         const auto found = places_.find(path);
--- a/src/contract/internal/contractset.cpp
+++ b/src/contract/internal/contractset.cpp
@@ -12,7 +12,7 @@
     return std::shared_ptr<ContractSet>(new ContractSet);
 }
 
-bool ContractSet::offer(const ContractVersion &version)
+bool ContractSet::applyIfNewer(const ContractVersion &version)
 {
     const auto known = byCustomer_.find(version.customer);
     if (known != byCustomer_.end() && known->second->version.version >= version.version) {
--- a/src/contract/internal/contractstore.cpp
+++ b/src/contract/internal/contractstore.cpp
@@ -81,7 +81,7 @@
 /// One apply(), over its tries.
 struct ContractStore::Attempt {
     Edit edit;
-    EditJudge judge;
+    EditValidator judge;
     EditHandler handler;
     int tries = 0;
     bool mayBeWritten = false; ///< An earlier try ended with an unknown outcome.
@@ -105,7 +105,7 @@
     return store;
 }
 
-void ContractStore::apply(Edit edit, EditJudge judge, EditHandler handler)
+void ContractStore::apply(Edit edit, EditValidator judge, EditHandler handler)
 {
     auto attempt = std::make_shared<Attempt>();
     attempt->edit = std::move(edit);
--- a/src/contract/internal/contractsync.cpp
+++ b/src/contract/internal/contractsync.cpp
@@ -18,7 +18,7 @@
     return std::max(ShortestPeriod, PeriodPerVm * static_cast<std::int64_t>(listed));
 }
 
-Duration pollPause(Duration period, std::string_view instance, std::uint64_t count)
+Duration pollDelay(Duration period, std::string_view instance, std::uint64_t count)
 {
     const auto spread = static_cast<std::uint64_t>(period.count());
     return period / 2 + Duration(static_cast<std::int64_t>(text::stableHash(instance, count) % spread));
@@ -44,24 +44,24 @@
 // A VM that has not got the contracts yet does not wait for its turn.
 void ContractSync::schedule()
 {
-    const Duration period = hasAll_ ? pollPeriod(listed_()) : ShortestPeriod;
-    loop_->after(pollPause(period, instance_, polls_++), [this] {
+    const Duration period = hasAllContracts_ ? pollPeriod(listed_()) : ShortestPeriod;
+    loop_->after(pollDelay(period, instance_, polls_++), [this] {
         poll();
         schedule();
     });
 }
 
-bool ContractSync::hasAll() const
+bool ContractSync::hasAllContracts() const
 {
-    return hasAll_;
+    return hasAllContracts_;
 }
 
-void ContractSync::setHasAll()
+void ContractSync::setHasAllContracts()
 {
-    if (hasAll_) {
+    if (hasAllContracts_) {
         return;
     }
-    hasAll_ = true;
+    hasAllContracts_ = true;
     if (readyHandler_) {
         readyHandler_();
     }
@@ -97,7 +97,7 @@
         busy_ = false;
         return;
     }
-    if (!hasAll_) {
+    if (!hasAllContracts_) {
         readAll(head.value());
         return;
     }
@@ -118,7 +118,7 @@
             return;
         }
         for (const ContractVersion &version : versions.value()) {
-            set_->offer(version);
+            set_->applyIfNewer(version);
         }
         set_->setRevision(revision);
         readChanges(revision, asked);
@@ -138,7 +138,7 @@
         }
         busy_ = false;
         if (set_->revision() >= head) {
-            setHasAll();
+            setHasAllContracts();
             confirm(asked);
         }
     });
@@ -152,7 +152,7 @@
         if (version.revision > set_->revision() + 1) {
             return false;
         }
-        set_->offer(version);
+        set_->applyIfNewer(version);
         set_->setRevision(version.revision);
     }
     return versions.size() >= ContractStore::PageLimit;
--- a/src/contract/internal/editcheck.cpp
+++ b/src/contract/internal/editcheck.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-void checkKeys(const EditText &edit, const Contract &wanted, ContractsInForce others, Findings &findings)
+void checkKeys(const ProposedEdit &edit, const Contract &wanted, ContractsInForce others, Findings &findings)
 {
     for (const auto &other : others) {
         if (other->contract.customer == wanted.customer) {
@@ -25,7 +25,7 @@
 
 } // namespace
 
-Findings checkEdit(const EditText &edit, const ContractVersion *replaced, ContractsInForce others)
+Findings checkEdit(const ProposedEdit &edit, const ContractVersion *replaced, ContractsInForce others)
 {
     Findings findings;
     const Contract wanted = readContract(edit.file, edit.text, findings);
@@ -39,7 +39,7 @@
     if (replaced && !edit.confirmed) {
         Findings ignored;
         const Contract before = readContract(edit.file, replaced->text, ignored);
-        const Findings dangers = dangerousChanges(edit.file, before, wanted, ContractPlaces::read(edit.file, edit.text));
+        const Findings dangers = dangerousChanges(edit.file, before, wanted, ContractLocations::read(edit.file, edit.text));
         findings.insert(findings.end(), dangers.begin(), dangers.end());
     }
     return findings;
--- a/src/contract/internal/freshness.cpp
+++ b/src/contract/internal/freshness.cpp
@@ -9,28 +9,28 @@
     return listed / 2 + 1;
 }
 
-bool hearsMajority(const FreshnessFacts &facts)
+bool hearsMajority(const FreshnessInputs &inputs)
 {
-    return facts.listKnown && facts.hasAll && facts.heard + 1 >= majorityOf(facts.listed);
+    return inputs.listKnown && inputs.hasAllContracts && inputs.heard + 1 >= majorityOf(inputs.listed);
 }
 
 // NOTE A VM that starts without contracts does not count itself: an earlier instance on it may have held the edit that
 // the others lack, and that memory is lost.
-bool completeFromPeers(const FreshnessFacts &facts)
+bool completeFromPeers(const FreshnessInputs &inputs)
 {
-    const std::size_t others = facts.listed - 1;
-    return facts.listKnown && others > 0 && facts.heard >= std::min(majorityOf(facts.listed), others);
+    const std::size_t others = inputs.listed - 1;
+    return inputs.listKnown && others > 0 && inputs.heard >= std::min(majorityOf(inputs.listed), others);
 }
 
-FreshnessReason judgeFreshness(const FreshnessFacts &facts)
+FreshnessReason evaluateFreshness(const FreshnessInputs &inputs)
 {
-    if (!facts.hasAll) {
+    if (!inputs.hasAllContracts) {
         return FreshnessReason::NoContracts;
     }
-    if (facts.tableAge && *facts.tableAge <= FreshnessBound) {
+    if (inputs.tableAge && *inputs.tableAge <= FreshnessBound) {
         return FreshnessReason::ConfirmedByTable;
     }
-    return hearsMajority(facts) ? FreshnessReason::ConfirmedByMajority : FreshnessReason::CutOff;
+    return hearsMajority(inputs) ? FreshnessReason::ConfirmedByMajority : FreshnessReason::CutOff;
 }
 
 bool mayTakeNewWork(FreshnessReason reason)
--- a/src/contract/tests/contractexchange_test.cpp
+++ b/src/contract/tests/contractexchange_test.cpp
@@ -83,7 +83,7 @@
         node->exchange = ContractExchange::create({loop.get(), node->transport, node->members, node->set, node->sync, [] {
                                                        return true;
                                                    }});
-        node->sync->start(instance, [exchange = node->exchange] { return exchange->facts().listed; });
+        node->sync->start(instance, [exchange = node->exchange] { return exchange->freshnessInputs().listed; });
         node->exchange->start();
         nodes.push_back(std::move(node));
     }
--- a/src/contract/tests/contractreader_test.cpp
+++ b/src/contract/tests/contractreader_test.cpp
@@ -67,7 +67,7 @@
     std::string text = replaced(Good, "\"perDayCents\": 500", "\"perDayCents\": 0");
     text = replaced(text, R"({"model": "m", "class": "quick", "maxOutputTokens": 100})", "");
     const Contract after = readContract("a", text, findings);
-    const Findings dangers = dangerousChanges("a", before, after, ContractPlaces::read("a", text));
+    const Findings dangers = dangerousChanges("a", before, after, ContractLocations::read("a", text));
     ASSERT_EQ(dangers.size(), 2U) << formatFindings(dangers);
     EXPECT_EQ(dangers[0].line, 7) << "perDayCents";
     EXPECT_EQ(dangers[1].line, 5) << "the list the model is gone from";
--- a/src/contract/tests/contractset_test.cpp
+++ b/src/contract/tests/contractset_test.cpp
@@ -29,9 +29,9 @@
     const auto set = ContractSet::create();
     int changes = 0;
     set->onChange([&](const ContractInForce &) { changes++; });
-    EXPECT_TRUE(set->offer(versionOf("shop", 2, 7)));
-    EXPECT_FALSE(set->offer(versionOf("shop", 1, 9)));
-    EXPECT_FALSE(set->offer(versionOf("shop", 2, 7)));
+    EXPECT_TRUE(set->applyIfNewer(versionOf("shop", 2, 7)));
+    EXPECT_FALSE(set->applyIfNewer(versionOf("shop", 1, 9)));
+    EXPECT_FALSE(set->applyIfNewer(versionOf("shop", 2, 7)));
     EXPECT_EQ(set->find("shop")->version.version, 2U);
     EXPECT_EQ(changes, 1);
     set->setRevision(7);
@@ -45,12 +45,12 @@
 {
     const auto one = ContractSet::create();
     const auto other = ContractSet::create();
-    one->offer(versionOf("desk", 1, 1));
-    one->offer(versionOf("shop", 1, 2));
-    other->offer(versionOf("shop", 1, 2));
-    other->offer(versionOf("desk", 1, 1));
+    one->applyIfNewer(versionOf("desk", 1, 1));
+    one->applyIfNewer(versionOf("shop", 1, 2));
+    other->applyIfNewer(versionOf("shop", 1, 2));
+    other->applyIfNewer(versionOf("desk", 1, 1));
     EXPECT_EQ(one->findByKeyHash(KeyHash)->contract.customer, "desk");
     EXPECT_EQ(other->findByKeyHash(KeyHash)->contract.customer, "desk");
-    one->offer(versionOf("desk", 2, 3, false));
+    one->applyIfNewer(versionOf("desk", 2, 3, false));
     EXPECT_EQ(one->findByKeyHash(KeyHash)->contract.customer, "shop");
 }
--- a/src/contract/tests/editcheck_test.cpp
+++ b/src/contract/tests/editcheck_test.cpp
@@ -20,7 +20,7 @@
 TEST(EditCheck, AKeyOfAnotherCustomerIsAFinding)
 {
     const auto set = ContractSet::create();
-    set->offer({"shop", 1, 1, textOf("shop"), "ann", "edit"});
+    set->applyIfNewer({"shop", 1, 1, textOf("shop"), "ann", "edit"});
     const auto others = set->all();
     EXPECT_TRUE(checkEdit({"shop.json", "shop", textOf("shop")}, nullptr, others).empty()) << "its own key";
     const Findings findings = checkEdit({"desk.json", "desk", textOf("desk")}, nullptr, others);
--- a/src/contract/tests/freshness_test.cpp
+++ b/src/contract/tests/freshness_test.cpp
@@ -11,20 +11,20 @@
 
 constexpr unsigned MostVms = 9;
 
-FreshnessFacts factsOf(bool hasAll, std::optional<Duration> tableAge, bool listKnown, std::size_t listed, std::size_t heard)
+FreshnessInputs inputsOf(bool hasAllContracts, std::optional<Duration> tableAge, bool listKnown, std::size_t listed, std::size_t heard)
 {
-    return {hasAll, tableAge, listKnown, listed, heard};
+    return {hasAllContracts, tableAge, listKnown, listed, heard};
 }
 
-FreshnessReason expectedReason(const FreshnessFacts &facts)
+FreshnessReason expectedReason(const FreshnessInputs &inputs)
 {
-    if (!facts.hasAll) {
+    if (!inputs.hasAllContracts) {
         return FreshnessReason::NoContracts;
     }
-    if (facts.tableAge && *facts.tableAge <= FreshnessBound) {
+    if (inputs.tableAge && *inputs.tableAge <= FreshnessBound) {
         return FreshnessReason::ConfirmedByTable;
     }
-    const bool majority = facts.listKnown && 2 * (facts.heard + 1) > facts.listed;
+    const bool majority = inputs.listKnown && 2 * (inputs.heard + 1) > inputs.listed;
     return majority ? FreshnessReason::ConfirmedByMajority : FreshnessReason::CutOff;
 }
 
@@ -38,8 +38,8 @@
         for (const auto &age : ages) {
             for (std::size_t listed = 1; listed <= MostVms; listed++) {
                 for (std::size_t heard = 0; heard < listed; heard++) {
-                    const FreshnessFacts facts = factsOf(bits & 1U, age, bits & 2U, listed, heard);
-                    EXPECT_EQ(judgeFreshness(facts), expectedReason(facts)) << listed << " listed, " << heard << " heard";
+                    const FreshnessInputs inputs = inputsOf(bits & 1U, age, bits & 2U, listed, heard);
+                    EXPECT_EQ(evaluateFreshness(inputs), expectedReason(inputs)) << listed << " listed, " << heard << " heard";
                     combinations++;
                 }
             }
@@ -63,11 +63,11 @@
                     continue; // VM 0 is the one that judges.
                 }
                 const auto count = static_cast<std::size_t>(std::popcount(heard));
-                if (mayTakeNewWork(judgeFreshness(factsOf(true, std::nullopt, true, vms, count)))) {
+                if (mayTakeNewWork(evaluateFreshness(inputsOf(true, std::nullopt, true, vms, count)))) {
                     EXPECT_TRUE(holders & (heard | 1U));
                 }
                 // The same VM started again: what its earlier instance held is lost.
-                if (completeFromPeers(factsOf(false, std::nullopt, true, vms, count))) {
+                if (completeFromPeers(inputsOf(false, std::nullopt, true, vms, count))) {
                     EXPECT_TRUE(holders & heard) << vms << " VMs, holders " << holders << ", heard " << heard;
                 }
             }
@@ -77,7 +77,7 @@
 
 TEST(Freshness, NobodyIsAMajorityBeforeTheListIsKnown)
 {
-    EXPECT_FALSE(hearsMajority(factsOf(true, Duration(0), false, 1, 0)));
-    EXPECT_FALSE(completeFromPeers(factsOf(false, std::nullopt, false, 3, 2)));
-    EXPECT_FALSE(completeFromPeers(factsOf(false, std::nullopt, true, 1, 0)));
+    EXPECT_FALSE(hearsMajority(inputsOf(true, Duration(0), false, 1, 0)));
+    EXPECT_FALSE(completeFromPeers(inputsOf(false, std::nullopt, false, 3, 2)));
+    EXPECT_FALSE(completeFromPeers(inputsOf(false, std::nullopt, true, 1, 0)));
 }
--- a/src/limits/tests/customerlimiter_test.cpp
+++ b/src/limits/tests/customerlimiter_test.cpp
@@ -49,7 +49,7 @@
         for (const membership::Vm &vm : vmList_) {
             auto &testVm = vms_.emplace_back(std::make_unique<TestVm>());
             testVm->instance = vm.instance;
-            testVm->contracts->offer({"shop", 1, 1, contractText(), "tester", "edit", 0});
+            testVm->contracts->applyIfNewer({"shop", 1, 1, contractText(), "tester", "edit", 0});
             testVm->members = membership::Members::create(vm.instance);
             testVm->members->applyList(vmList_);
             testVm->transport = peers::LocalTransport::create(*loop_, network_, vm.instance);
--- a/src/operatorapi/editflow.h
+++ b/src/operatorapi/editflow.h
@@ -42,7 +42,7 @@
     EditTools tools_;
     std::shared_ptr<http::Responder> responder_;
     contract::Edit edit_;
-    contract::EditText text_;
+    contract::ProposedEdit text_;
     contract::EditResult result_;
     TimePoint waitEnd_;
 };
--- a/src/operatorapi/internal/editflow.cpp
+++ b/src/operatorapi/internal/editflow.cpp
@@ -39,7 +39,7 @@
 {
     Json::UInt64 inForce = 0;
     answer["vms"] = Json::Value(Json::arrayValue);
-    for (const contract::VmInForce &vm : exchange.where()) {
+    for (const contract::VmRevision &vm : exchange.vmRevisions()) {
         Json::Value entry;
         entry["instance"] = vm.instance;
         entry["zone"] = vm.zone;
@@ -90,7 +90,7 @@
 // accepted now would stay unknown to them.
 void EditFlow::awaitMajority()
 {
-    if (contract::hearsMajority(tools_.exchange->facts())) {
+    if (contract::hearsMajority(tools_.exchange->freshnessInputs())) {
         write();
         return;
     }
@@ -103,11 +103,11 @@
 
 void EditFlow::write()
 {
-    const auto judge = [self = shared_from_this()](const contract::ContractVersion *replaced) {
+    const auto validate = [self = shared_from_this()](const contract::ContractVersion *replaced) {
         const auto others = self->tools_.contracts->all();
         return contract::checkEdit(self->text_, replaced, others);
     };
-    tools_.store->apply(edit_, judge, [self = shared_from_this()](contract::EditResult result) { self->onResult(std::move(result)); });
+    tools_.store->apply(edit_, validate, [self = shared_from_this()](contract::EditResult result) { self->onResult(std::move(result)); });
 }
 
 void EditFlow::onResult(contract::EditResult result)
@@ -130,7 +130,7 @@
 
 bool EditFlow::isEverywhere() const
 {
-    for (const contract::VmInForce &vm : tools_.exchange->where()) {
+    for (const contract::VmRevision &vm : tools_.exchange->vmRevisions()) {
         if (vm.revision < result_.current.revision) {
             return false;
         }
@@ -151,7 +151,7 @@
     if (tools_.contracts->revision() < revision) {
         tools_.sync->poll();
     } else {
-        tools_.exchange->chase(revision);
+        tools_.exchange->promptLaggingPeers(revision);
     }
     tools_.loop->after(WaitStep, [self = shared_from_this()] { self->awaitEverywhere(); });
 }
--- a/src/operatorapi/internal/operatorapi.cpp
+++ b/src/operatorapi/internal/operatorapi.cpp
@@ -156,7 +156,7 @@
     answer["phase"] = tools_.lifecycle->phase() == lifecycle::Phase::Ready ? "ready" : "not ready";
     answer["revision"] = static_cast<Json::UInt64>(tools_.contracts->revision());
     answer["freshness"] = std::string(contract::freshnessName(tools_.exchange->freshness()));
-    answer["otherEntryVmsHeard"] = static_cast<Json::UInt64>(tools_.exchange->facts().heard);
+    answer["otherEntryVmsHeard"] = static_cast<Json::UInt64>(tools_.exchange->freshnessInputs().heard);
     for (const auto &entry : tools_.contracts->all()) {
         answer["contracts"][entry->contract.customer] = static_cast<Json::UInt64>(entry->version.version);
     }
--- a/src/spending/tests/spendingkeeper_test.cpp
+++ b/src/spending/tests/spendingkeeper_test.cpp
@@ -58,7 +58,7 @@
     void putInForce(std::uint64_t version, std::int64_t perDayCents)
     {
         for (const auto &vm : vms_) {
-            vm->contracts->offer({"shop", version, version, contractText(perDayCents), "tester", fmt::format("edit-{}", version), 0});
+            vm->contracts->applyIfNewer({"shop", version, version, contractText(perDayCents), "tester", fmt::format("edit-{}", version), 0});
         }
     }
 
--- a/src/spending/tests/spendingwalk_test.cpp
+++ b/src/spending/tests/spendingwalk_test.cpp
@@ -273,7 +273,7 @@
         contract_ = contractOf(2, bound_);
         committedAtLower_ = committed();
         for (const auto &contracts : contracts_) {
-            contracts->offer({"shop", 2, 2, text(), "tester", "edit-2", 0});
+            contracts->applyIfNewer({"shop", 2, 2, text(), "tester", "edit-2", 0});
         }
     }
     static std::string text()
