--- a/src/contract/contractmodule.cpp
+++ b/src/contract/contractmodule.cpp
@@ -15,18 +15,18 @@
 
 namespace {
 
-void serveWhileFresh(lifecycle::Lifecycle &lifecycle, ContractSync &sync, const std::shared_ptr<ContractExchange> &exchange)
+void gateReadinessOnFreshness(lifecycle::Lifecycle &lifecycle, ContractSync &sync, const std::shared_ptr<ContractExchange> &exchange)
 {
     lifecycle.setGate([exchange] { return mayTakeNewWork(exchange->freshness()); });
     sync.onReady([&lifecycle] { lifecycle.setReady(); });
 }
 
-/// The delay is on the civil clocks of two VMs: as good as they agree.
-void publishFigures(metrics::Metrics &metrics, EventLoop &loop, const std::shared_ptr<ContractSet> &set, const std::shared_ptr<ContractExchange> &exchange)
+/// contract_edit_delay_seconds compares the wall clocks of two VMs, so it is only as accurate as they are synchronized.
+void publishMetrics(metrics::Metrics &metrics, EventLoop &loop, const std::shared_ptr<ContractSet> &set, const std::shared_ptr<ContractExchange> &exchange)
 {
     metrics.gauge("contract_revision", [set] { return static_cast<double>(set->revision()); });
     metrics.gauge("contract_may_take_new_work", [exchange] { return mayTakeNewWork(exchange->freshness()) ? 1.0 : 0.0; });
-    metrics.gauge("contract_exchange_questions", [exchange] { return static_cast<double>(exchange->counters().questions); });
+    metrics.gauge("contract_exchange_questions", [exchange] { return static_cast<double>(exchange->counters().pulls); });
     metrics.gauge("contract_exchange_bytes_sent", [exchange] { return static_cast<double>(exchange->counters().bytesSent); });
     metrics.gauge("contract_exchange_bytes_received", [exchange] { return static_cast<double>(exchange->counters().bytesReceived); });
     set->onChange([&metrics, &loop](const ContractInForce &entry) {
@@ -65,10 +65,10 @@
             return !reader || reader->hasRead();
         };
         auto exchange = ContractExchange::create(tools);
-        serveWhileFresh(*context.get<lifecycle::Lifecycle>(), *sync, exchange);
+        gateReadinessOnFreshness(*context.get<lifecycle::Lifecycle>(), *sync, exchange);
         sync->start(context.get<settings::Settings>()->instance, [exchange] { return exchange->freshnessInputs().listed; });
         exchange->start();
-        publishFigures(*context.get<metrics::Metrics>(), loop, set, exchange);
+        publishMetrics(*context.get<metrics::Metrics>(), loop, set, exchange);
         context.set(exchange);
         context.set(store);
         context.set(set);
--- a/src/contract/contractreader.h
+++ b/src/contract/contractreader.h
@@ -8,35 +8,36 @@
 
 namespace cardamomlift::contract {
 
-/// Reads and checks one contract text (JSON with comments). The tool and the daemon both call this; what is wrong is
-/// added to @p findings, and with an error among them the result is not to be used.
+/// Parses and validates one contract text (JSON with comments), for the tool and the daemon alike. Problems are added to
+/// @p findings; if one of them is an error, the result must not be used.
 Contract readContract(const std::string &file, const std::string &text, Findings &findings);
 
-/// Where each value of a contract stands, by its path as in "limits.openRequests" or "models.proofreader.class".
+/// Line and column of each value in a contract text, by its path as in "limits.openRequests" or "models.proofreader.class".
 class ContractLocations
 {
 public:
-    /// Of a text that readContract() takes without errors.
+    /// Reads the locations in a text that readContract() accepts without errors.
     static ContractLocations read(const std::string &file, const std::string &text);
-    /// Puts the place of @p path into @p finding; of the nearest enclosing value if the path is not in the text.
-    void place(Finding &finding, std::string path) const;
+    /// Sets line and column of @p finding to those of @p path, or of the nearest enclosing value if the text has no such path.
+    void locate(Finding &finding, std::string path) const;
 
 private:
-    struct Place {
+    struct Location {
         int line = 0;
         int column = 0;
     };
-    std::map<std::string, Place, std::less<>> places_;
+    std::map<std::string, Location, std::less<>> locations_;
 };
 
-/// Changes from @p before to @p after that look like a slip: a bound cut to zero, a number changed by a thousand or
-/// more, a model or service taken away. All with Severity::Danger, at their places in the text of @p after.
-Findings dangerousChanges(const std::string &file, const Contract &before, const Contract &after, const ContractLocations &places = {});
+/// Changes from @p before to @p after that may be mistakes: a number cut to zero or changed by a factor of a thousand or
+/// more, a removed key, model or service, a service that becomes idempotent. All have Severity::Danger and the
+/// location in the text of @p after.
+Findings dangerousChanges(const std::string &file, const Contract &before, const Contract &after, const ContractLocations &locations = {});
 
-/// The changes as "path: before -> after", one a line; empty if nothing that counts has changed.
+/// The changes as "path: before -> after", one per line; empty if no value has changed.
 std::string describeChanges(const Contract &before, const Contract &after);
 
-/// What two edits of @p base changed: those only in @p theirs, those only in @p mine, those in both.
+/// Three-way comparison of two edits of @p base: changes only in @p theirs, only in @p mine, and different in both.
 std::string describeConflict(const Contract &base, const Contract &theirs, const Contract &mine);
 
 } // namespace cardamomlift::contract
--- a/src/contract/contractsync.h
+++ b/src/contract/contractsync.h
@@ -11,41 +11,41 @@
 
 namespace cardamomlift::contract {
 
-/// Time between two readings of the head revision by one VM, so that @p listed entry VMs together stay under ten
-/// readings a second.
+/// Time between two reads of the head revision by one VM. It grows with @p listed, the number of live entry VMs, so that
+/// together they make at most ten reads per second.
 Duration pollPeriod(std::size_t listed);
-/// The pause before reading number @p count of a VM: between half and one and a half @p period, so that VMs started
-/// together don't read together.
+/// The delay before read number @p count of a VM: @p period with a jitter of half a period in either direction, so that VMs
+/// started together don't read at the same time.
 Duration pollDelay(Duration period, std::string_view instance, std::uint64_t count);
 
-/// Brings accepted edits from the table into the ContractSet of this VM, and keeps how current that is.
+/// Applies the edits in the table to the ContractSet of this VM, and records as of when the set is known to be complete.
 class ContractSync
 {
 public:
     static std::shared_ptr<ContractSync> create(EventLoop &loop, std::shared_ptr<ContractStore> store, std::shared_ptr<ContractSet> set);
 
-    /// @p instance is this VM; @p listed gives the number of live entry VMs.
+    /// @p instance is this VM; @p listed returns the number of live entry VMs.
     void start(std::string instance, std::function<std::size_t()> listed);
     /// True once all contracts are known, from the table or from peers.
     bool hasAllContracts() const;
-    /// All contracts are known from peers.
+    /// Called when all contracts were received from peers.
     void setHasAllContracts();
-    /// Called once, when hasAll() turns true.
+    /// Sets the handler that is called once, when hasAllContracts() becomes true.
     void onReady(std::function<void()> handler);
-    /// Reads now instead of at the next period.
+    /// Reads the head revision now instead of after the next delay.
     void poll();
-    /// The table held at @p asOf no edit that is missing here.
+    /// Records that, at @p asOf, the table held no edit that is missing here.
     void confirm(TimePoint asOf);
-    /// The newest confirm(), or nothing.
+    /// The newest time passed to confirm(), if any.
     std::optional<TimePoint> confirmedAsOf() const;
 
 private:
     ContractSync() = default;
     void schedule();
-    void onHead(Result<std::uint64_t> head, TimePoint asked);
+    void onHead(Result<std::uint64_t> head, TimePoint requestedAt);
     void readAll(std::uint64_t revision);
-    void readChanges(std::uint64_t head, TimePoint asked);
-    bool takeOver(const std::vector<ContractVersion> &versions);
+    void readChanges(std::uint64_t head, TimePoint requestedAt);
+    bool applyLogEntries(const std::vector<ContractVersion> &versions);
     EventLoop *loop_ = nullptr;
     std::shared_ptr<ContractStore> store_;
     std::shared_ptr<ContractSet> set_;
--- a/src/contract/freshness.h
+++ b/src/contract/freshness.h
@@ -8,33 +8,34 @@
 
 namespace cardamomlift::contract {
 
-/// How old the evidence may be that no accepted edit is missing here.
+/// Maximum age of the last confirmation that no accepted edit is missing on this VM.
 inline constexpr Duration FreshnessBound = std::chrono::seconds(4);
 
-/// What a VM knows about how current its contracts are. Ages are on the runtime's clock.
+/// The inputs of evaluateFreshness(). Ages are measured with the clock of the event loop.
 struct FreshnessInputs {
-    bool hasAllContracts = false; ///< Every contract was read once, from the table or from enough peers.
-    std::optional<Duration> tableAge; ///< So long ago the table held no edit that is missing here, as read here or by a peer.
+    bool hasAllContracts = false; ///< All contracts were read once, from the table or from enough peers.
+    std::optional<Duration> tableAge; ///< Time since the table was last known to hold no edit that is missing here, read by this VM or a peer.
     bool listKnown = false; ///< The platform's list of VMs was read.
-    std::size_t listed = 1; ///< Live entry VMs on it, this one counted.
-    std::size_t heard = 0; ///< Others of them whose heartbeat, at most FreshnessBound old, is merged here.
+    std::size_t listed = 1; ///< Live entry VMs on the list, including this one.
+    std::size_t heard = 0; ///< Other listed VMs with a known heartbeat no older than FreshnessBound.
 };
 
-/// Why the contracts held here may, or may not, be taken as those in force.
+/// Why this VM may, or may not, rely on its contracts.
 enum class FreshnessReason {
     ConfirmedByTable,
-    ConfirmedByMajority, ///< The table can't be reached, and no edit can be accepted without one of the VMs heard.
-    NoContracts, ///< This VM has not read the contracts yet.
-    CutOff, ///< Neither the table nor a majority of the entry VMs can be reached.
+    ConfirmedByMajority, ///< The table is unreachable, but every majority that can accept an edit includes this VM or one it hears.
+    NoContracts, ///< This VM does not have all contracts yet.
+    CutOff, ///< Neither the table nor a majority of the entry VMs is reachable.
 };
 
-/// Entry VMs, this one counted, that a decision needs out of @p listed: more than half.
+/// The smallest majority of @p listed entry VMs.
 std::size_t majorityOf(std::size_t listed);
-/// True if this VM and those it hears are a majority: then it may accept an edit.
+/// True if this VM and those it hears are a majority, so that it may accept an edit.
 bool hearsMajority(const FreshnessInputs &inputs);
-/// True if a VM without contracts has got them all from its peers: from a majority, itself not counted, or from all.
+/// True if a VM that started without contracts has received all of them: it has pulled from a majority, not counting
+/// itself, or from all others.
 bool completeFromPeers(const FreshnessInputs &inputs);
-/// Why this VM may take new work, or why not.
+/// Decides whether this VM may accept new work (see mayTakeNewWork()), and why.
 FreshnessReason evaluateFreshness(const FreshnessInputs &inputs);
 bool mayTakeNewWork(FreshnessReason reason);
 std::string_view freshnessName(FreshnessReason reason);
--- a/src/contract/internal/contractchange.cpp
+++ b/src/contract/internal/contractchange.cpp
@@ -10,9 +10,9 @@
 
 namespace {
 
-constexpr std::int64_t SlipFactor = 1000;
+constexpr std::int64_t SuspiciousFactor = 1000; ///< A change by this factor is probably a wrong unit.
 
-/// A contract flattened to "path" -> value, for comparing.
+/// The values of a contract by path, for comparison.
 struct FlatContract {
     std::map<std::string, std::int64_t> numbers;
     std::map<std::string, std::string> texts;
@@ -52,7 +52,7 @@
     return flat;
 }
 
-std::map<std::string, std::string> asTexts(const FlatContract &flat)
+std::map<std::string, std::string> toTexts(const FlatContract &flat)
 {
     std::map<std::string, std::string> all = flat.texts;
     for (const auto &[path, number] : flat.numbers) {
@@ -61,25 +61,25 @@
     return all;
 }
 
-bool isSlip(std::int64_t before, std::int64_t after)
+bool isSuspiciousChange(std::int64_t before, std::int64_t after)
 {
     if (before <= 0 || after <= 0) {
         return false;
     }
-    return after >= before * SlipFactor || before >= after * SlipFactor;
+    return after >= before * SuspiciousFactor || before >= after * SuspiciousFactor;
 }
 
-/// True for the one text of a key, model or service whose loss means that the whole of it is gone.
+/// True for the path that stands for a whole key, model or service: exactly one per item, so a removal is reported once.
 bool isGrant(std::string_view path)
 {
     return path.starts_with("keys.") || ((path.starts_with("models.") || path.starts_with("services.")) && path.ends_with(".class"));
 }
 
-/// The changes from one contract to another by path, each as "before -> after".
+/// The changes between two contracts by path, each as "before -> after".
 std::map<std::string, std::string> changesByPath(const Contract &before, const Contract &after)
 {
-    const auto old = asTexts(flatten(before));
-    const auto now = asTexts(flatten(after));
+    const auto old = toTexts(flatten(before));
+    const auto now = toTexts(flatten(after));
     std::map<std::string, std::string> changes;
     for (const auto &[path, value] : old) {
         const auto found = now.find(path);
@@ -99,12 +99,12 @@
 
 } // namespace
 
-Findings dangerousChanges(const std::string &file, const Contract &before, const Contract &after, const ContractLocations &places)
+Findings dangerousChanges(const std::string &file, const Contract &before, const Contract &after, const ContractLocations &locations)
 {
     Findings findings;
-    const auto report = [&](const std::string &path, const std::string &what, const std::string &remedy) {
-        Finding finding{file, 0, 0, path + " " + what, remedy, Severity::Danger};
-        places.place(finding, path);
+    const auto report = [&](const std::string &path, const std::string &problem, const std::string &remedy) {
+        Finding finding{file, 0, 0, path + " " + problem, remedy, Severity::Danger};
+        locations.locate(finding, path);
         findings.push_back(std::move(finding));
     };
     const FlatContract old = flatten(before);
@@ -116,14 +116,14 @@
         }
         if (number == 0 && found->second > 0) {
             report(path, fmt::format("is cut from {} to 0.", found->second), "Confirm if nothing more is to be allowed.");
-        } else if (isSlip(found->second, number)) {
-            report(path, fmt::format("changes from {} to {}, a thousandfold.", found->second, number), "Check the unit.");
+        } else if (isSuspiciousChange(found->second, number)) {
+            report(path, fmt::format("changes from {} to {}, by a factor of 1000 or more.", found->second, number), "Check the unit.");
         }
     }
     for (const auto &[path, text] : old.texts) {
         const auto found = now.texts.find(path);
         if (found == now.texts.end() && isGrant(path)) {
-            report(path, "is taken away.", "Confirm if its callers are to be refused.");
+            report(path, "is removed.", "Confirm if its callers are to be refused.");
         } else if (found != now.texts.end() && path.ends_with(".idempotent") && text == "false" && found->second == "true") {
             report(path, "becomes true: calls may run more than once.", "Confirm if a repeat does no harm.");
         }
--- a/src/contract/internal/contractexchange.cpp
+++ b/src/contract/internal/contractexchange.cpp
@@ -12,16 +12,18 @@
 namespace {
 
 constexpr char Topic[] = "contracts.pull";
-constexpr Duration Period = std::chrono::milliseconds(500);
+constexpr Duration PullPeriod = std::chrono::milliseconds(500);
 constexpr Duration CallTimeout = std::chrono::seconds(1);
-constexpr Duration EagerAfterNews = std::chrono::seconds(6);
-constexpr Duration EagerTableAge = std::chrono::seconds(2);
-constexpr Duration AgeUnit = std::chrono::milliseconds(16);
-constexpr std::uint32_t OrderMultiplier = 2654435761U; ///< Odd: a permutation of the ids.
+/// After a new revision, pulls request all heartbeats for this long.
+constexpr Duration AllHeartbeatsAfterNewRevision = std::chrono::seconds(6);
+/// Pulls request all heartbeats when the last confirmation by the table is older than this.
+constexpr Duration AllHeartbeatsTableAge = std::chrono::seconds(2);
+constexpr Duration HeartbeatAgeUnit = std::chrono::milliseconds(16);
+constexpr std::uint32_t OrderMultiplier = 2654435761U; ///< Odd, so that multiplication permutes the ids.
 constexpr std::size_t FanOut = 2;
-constexpr std::size_t NewsFanOut = 3;
-constexpr std::size_t ChaseFanOut = 4;
-constexpr std::size_t BeatsWhenCalm = 32;
+constexpr std::size_t NewRevisionFanOut = 3;
+constexpr std::size_t PromptFanOut = 4;
+constexpr std::size_t DefaultMaxHeartbeats = 32; ///< Per reply, unless the requester wants all.
 constexpr std::size_t PageBytes = 1 << 20;
 
 std::uint32_t idOf(std::string_view instance)
@@ -62,24 +64,24 @@
     ContractExchange *raw = exchange.get();
     raw->startedAt_ = raw->tools_.loop->now();
     raw->tools_.transport->handle(Topic, [raw](const std::string &from, const std::string &payload, const peers::Reply &reply) {
-        std::string answer = raw->answer(from, payload);
+        std::string answer = raw->answerPull(from, payload);
         raw->counters_.bytesReceived += payload.size();
         raw->counters_.bytesSent += answer.size();
         reply(std::move(answer));
     });
-    raw->tools_.members->onChange([raw] { raw->readMembers(); });
-    raw->readMembers();
-    raw->tools_.set->onRevision([raw] { raw->announce(); });
+    raw->tools_.members->onChange([raw] { raw->updatePeers(); });
+    raw->updatePeers();
+    raw->tools_.set->onRevision([raw] { raw->onRevisionRaised(); });
     return exchange;
 }
 
 void ContractExchange::start()
 {
-    tools_.loop->every(Period, [this] { tick(); });
+    tools_.loop->every(PullPeriod, [this] { tick(); });
 }
 
-// Each VM has an order of its own, so that they do not all ask the same one.
-void ContractExchange::readMembers()
+// Orders the peers differently on each VM, so that the VMs do not all pull from the same peer at once.
+void ContractExchange::updatePeers()
 {
     peers_.clear();
     std::unordered_set<std::uint32_t> listed;
@@ -95,13 +97,13 @@
         return (peer.id ^ self) * OrderMultiplier;
     };
     std::sort(peers_.begin(), peers_.end(), [&](const Peer &a, const Peer &b) { return rank(a) < rank(b); });
-    std::erase_if(beats_, [&](const auto &entry) { return !listed.contains(entry.first); });
+    std::erase_if(heartbeats_, [&](const auto &entry) { return !listed.contains(entry.first); });
 }
 
-const ContractExchange::Beat *ContractExchange::beatOf(const Peer &peer) const
+const ContractExchange::PeerHeartbeat *ContractExchange::heartbeatOf(const Peer &peer) const
 {
-    const auto found = beats_.find(peer.id);
-    return found == beats_.end() ? nullptr : &found->second;
+    const auto found = heartbeats_.find(peer.id);
+    return found == heartbeats_.end() ? nullptr : &found->second;
 }
 
 std::optional<Duration> ContractExchange::tableAge() const
@@ -122,13 +124,13 @@
     inputs.listed = peers_.size() + 1;
     TimePoint oldest = tools_.loop->now() - FreshnessBound;
     if (!inputs.hasAllContracts) {
-        // NOTE What peers last heard of one another before this VM started says nothing about edits that only the VM
-        // it replaces and one of them had.
+        // NOTE Until this VM has all contracts, heartbeats from before its start don't count: an older heartbeat of a peer
+        // may predate an edit that only this peer and the VM replaced by this one held.
         oldest = std::max(oldest, startedAt_);
     }
     for (const Peer &peer : peers_) {
-        const Beat *beat = beatOf(peer);
-        const bool isHeard = beat && beat->asOf && *beat->asOf >= oldest;
+        const PeerHeartbeat *heartbeat = heartbeatOf(peer);
+        const bool isHeard = heartbeat && heartbeat->asOf && *heartbeat->asOf >= oldest;
         inputs.heard += isHeard ? 1 : 0;
     }
     return inputs;
@@ -138,7 +140,7 @@
 {
     const auto age = tableAge();
     if (tools_.sync->hasAllContracts() && age && *age <= FreshnessBound) {
-        return FreshnessReason::ConfirmedByTable; // The usual case, without looking at every VM.
+        return FreshnessReason::ConfirmedByTable; // The common case; avoids iterating over all peers.
     }
     return evaluateFreshness(freshnessInputs());
 }
@@ -150,10 +152,10 @@
     result.push_back({tools_.members->self(), self ? self->zone : "", tools_.set->revision(), Duration(0)});
     for (const Peer &peer : peers_) {
         VmRevision entry{peer.vm.instance, peer.vm.zone, 0, std::nullopt};
-        if (const Beat *beat = beatOf(peer)) {
-            entry.revision = beat->revision;
-            if (beat->asOf) {
-                entry.age = tools_.loop->now() - *beat->asOf;
+        if (const PeerHeartbeat *heartbeat = heartbeatOf(peer)) {
+            entry.revision = heartbeat->revision;
+            if (heartbeat->asOf) {
+                entry.age = tools_.loop->now() - *heartbeat->asOf;
             }
         }
         result.push_back(std::move(entry));
@@ -162,57 +164,59 @@
     return result;
 }
 
-// All heartbeats are asked for while somebody counts them: without the table, and after an edit.
-bool ContractExchange::isEager() const
+// All heartbeats are needed while someone counts them: for the majority rule when the table is unreachable, and to see
+// where a new edit is in force.
+bool ContractExchange::needsAllHeartbeats() const
 {
     const auto age = tableAge();
-    return tools_.loop->now() < eagerUntil_ || !age || *age > EagerTableAge;
+    return tools_.loop->now() < allHeartbeatsUntil_ || !age || *age > AllHeartbeatsTableAge;
 }
 
 void ContractExchange::tick()
 {
     logFreshness();
-    pullNext(FanOut);
+    pullFromNextPeers(FanOut);
 }
 
 void ContractExchange::logFreshness()
 {
     const FreshnessReason reason = freshness();
-    if (reason == logged_) {
+    if (reason == loggedFreshness_) {
         return;
     }
-    logged_ = reason;
+    loggedFreshness_ = reason;
     const FreshnessInputs now = freshnessInputs();
     if (mayTakeNewWork(reason)) {
-        partLogger("contract")->info("Takes new work. reason={} heard={} listed={}", freshnessName(reason), now.heard, now.listed);
+        partLogger("contract")->info("Accepting new work. reason={} heard={} listed={}", freshnessName(reason), now.heard, now.listed);
     } else {
-        partLogger("contract")->warn("Takes no new work. reason={} heard={} listed={}", freshnessName(reason), now.heard, now.listed);
+        partLogger("contract")->warn("Not accepting new work. reason={} heard={} listed={}", freshnessName(reason), now.heard, now.listed);
     }
 }
 
-// A VM asked by one that is ahead asks back: so news travels in a few hops, not in rounds.
-void ContractExchange::announce()
+// The peers see in the pull request that this VM is ahead and pull in return, so a new revision spreads in a few hops
+// instead of waiting for periodic pulls.
+void ContractExchange::onRevisionRaised()
 {
-    eagerUntil_ = tools_.loop->now() + EagerAfterNews;
-    pullNext(NewsFanOut);
+    allHeartbeatsUntil_ = tools_.loop->now() + AllHeartbeatsAfterNewRevision;
+    pullFromNextPeers(NewRevisionFanOut);
 }
 
-void ContractExchange::pullNext(std::size_t count)
+void ContractExchange::pullFromNextPeers(std::size_t count)
 {
     for (std::size_t i = 0; i < std::min(count, peers_.size()); i++) {
-        pull(peers_[turn_++ % peers_.size()].vm, tools_.set->revision());
+        pull(peers_[nextPeer_++ % peers_.size()].vm, tools_.set->revision());
     }
 }
 
 void ContractExchange::promptLaggingPeers(std::uint64_t revision)
 {
-    std::size_t asked = 0;
-    for (std::size_t i = 0; i < peers_.size() && asked < ChaseFanOut; i++) {
-        const Peer &peer = peers_[turn_++ % peers_.size()];
-        const Beat *beat = beatOf(peer);
-        if (!beat || beat->revision < revision) {
+    std::size_t prompted = 0;
+    for (std::size_t i = 0; i < peers_.size() && prompted < PromptFanOut; i++) {
+        const Peer &peer = peers_[nextPeer_++ % peers_.size()];
+        const PeerHeartbeat *heartbeat = heartbeatOf(peer);
+        if (!heartbeat || heartbeat->revision < revision) {
             pull(peer.vm, tools_.set->revision());
-            asked++;
+            prompted++;
         }
     }
 }
@@ -224,27 +228,27 @@
 
 void ContractExchange::pull(const membership::Vm &peer, std::uint64_t after)
 {
-    if (!asking_.insert(peer.instance).second) {
+    if (!pendingPulls_.insert(peer.instance).second) {
         return;
     }
     wire::PullRequest request;
     request.set_revision(tools_.sync->hasAllContracts() ? tools_.set->revision() : 0);
     request.set_after(after);
-    request.set_wants_all_beats(isEager());
-    const TimePoint asked = tools_.loop->now();
+    request.set_wants_all_beats(needsAllHeartbeats());
+    const TimePoint requestedAt = tools_.loop->now();
     std::string bytes = request.SerializeAsString();
-    counters_.questions++;
+    counters_.pulls++;
     counters_.bytesSent += bytes.size();
-    tools_.transport->send(membership::peerAddress(peer), Topic, std::move(bytes), CallTimeout, [this, peer, asked](Result<std::string> payload) {
-        asking_.erase(peer.instance);
+    tools_.transport->send(membership::peerAddress(peer), Topic, std::move(bytes), CallTimeout, [this, peer, requestedAt](Result<std::string> payload) {
+        pendingPulls_.erase(peer.instance);
         if (payload) {
             counters_.bytesReceived += payload.value().size();
-            onReply(peer, payload.value(), asked);
+            onReply(peer, payload.value(), requestedAt);
         }
     });
 }
 
-void ContractExchange::onReply(const membership::Vm &peer, const std::string &payload, TimePoint asked)
+void ContractExchange::onReply(const membership::Vm &peer, const std::string &payload, TimePoint requestedAt)
 {
     wire::PullReply reply;
     if (!reply.ParseFromString(payload) || !reply.complete()) {
@@ -257,35 +261,35 @@
         pull(peer, reply.versions(reply.versions_size() - 1).revision());
         return;
     }
-    takeLastPage(peer.instance, reply, asked);
+    applyLastPage(peer.instance, reply, requestedAt);
 }
 
-void ContractExchange::takeLastPage(const std::string &instance, const wire::PullReply &reply, TimePoint asked)
+void ContractExchange::applyLastPage(const std::string &instance, const wire::PullReply &reply, TimePoint requestedAt)
 {
     tools_.set->setRevision(reply.revision());
-    merge(idOf(instance), reply.revision(), asked);
+    recordHeartbeat(idOf(instance), reply.revision(), requestedAt);
     const int beats = std::min({reply.beat_ids_size(), reply.beat_ages_size(), reply.beat_lags_size()});
     for (int i = 0; i < beats; i++) {
         const std::uint64_t lag = std::min(reply.beat_lags(i), reply.revision());
-        merge(reply.beat_ids(i), reply.revision() - lag, asked - reply.beat_ages(i) * AgeUnit);
+        recordHeartbeat(reply.beat_ids(i), reply.revision() - lag, requestedAt - reply.beat_ages(i) * HeartbeatAgeUnit);
     }
     if (!tools_.sync->hasAllContracts() && completeFromPeers(freshnessInputs())) {
-        partLogger("contract")->info("All contracts come from peers. revision={}", tools_.set->revision());
+        partLogger("contract")->info("Received all contracts from peers. revision={}", tools_.set->revision());
         tools_.sync->setHasAllContracts();
     }
     if (reply.has_table_age_ms()) {
-        tools_.sync->confirm(asked - std::chrono::milliseconds(reply.table_age_ms()));
+        tools_.sync->confirm(requestedAt - std::chrono::milliseconds(reply.table_age_ms()));
     }
 }
 
-std::string ContractExchange::answer(const std::string &from, const std::string &payload)
+std::string ContractExchange::answerPull(const std::string &from, const std::string &payload)
 {
     wire::PullRequest request;
     wire::PullReply reply;
     if (!request.ParseFromString(payload)) {
         return {};
     }
-    merge(idOf(from), request.revision(), std::nullopt);
+    recordHeartbeat(idOf(from), request.revision(), std::nullopt);
     const membership::Vm *asker = tools_.members->find(from);
     if (asker && request.revision() > tools_.set->revision()) {
         pull(*asker, tools_.set->revision());
@@ -295,15 +299,15 @@
     }
     reply.set_complete(true);
     reply.set_revision(tools_.set->revision());
-    addVersions(reply, request.after());
-    addBeats(reply, request.wants_all_beats());
+    addVersionsPage(reply, request.after());
+    addHeartbeats(reply, request.wants_all_beats());
     if (const auto age = tableAge()) {
         reply.set_table_age_ms(static_cast<std::uint64_t>(std::chrono::ceil<std::chrono::milliseconds>(*age).count()));
     }
     return reply.SerializeAsString();
 }
 
-void ContractExchange::addVersions(wire::PullReply &reply, std::uint64_t after) const
+void ContractExchange::addVersionsPage(wire::PullReply &reply, std::uint64_t after) const
 {
     std::size_t bytes = 0;
     for (const auto &entry : tools_.set->newerThan(after)) {
@@ -316,38 +320,38 @@
     }
 }
 
-void ContractExchange::addBeats(wire::PullReply &reply, bool all) const
+void ContractExchange::addHeartbeats(wire::PullReply &reply, bool all) const
 {
     std::vector<std::pair<TimePoint, std::uint32_t>> newest;
     const TimePoint now = tools_.loop->now();
-    for (const auto &[id, beat] : beats_) {
-        if (beat.asOf && now - *beat.asOf <= FreshnessBound) {
-            newest.emplace_back(*beat.asOf, id);
+    for (const auto &[id, heartbeat] : heartbeats_) {
+        if (heartbeat.asOf && now - *heartbeat.asOf <= FreshnessBound) {
+            newest.emplace_back(*heartbeat.asOf, id);
         }
     }
     std::sort(newest.rbegin(), newest.rend());
-    if (!all && newest.size() > BeatsWhenCalm) {
-        newest.resize(BeatsWhenCalm);
+    if (!all && newest.size() > DefaultMaxHeartbeats) {
+        newest.resize(DefaultMaxHeartbeats);
     }
     for (const auto &[asOf, id] : newest) {
-        const std::uint64_t revision = beats_.at(id).revision;
+        const std::uint64_t revision = heartbeats_.at(id).revision;
         reply.add_beat_ids(id);
-        reply.add_beat_ages(static_cast<std::uint32_t>((now - asOf + AgeUnit - Duration(1)) / AgeUnit));
+        reply.add_beat_ages(static_cast<std::uint32_t>((now - asOf + HeartbeatAgeUnit - Duration(1)) / HeartbeatAgeUnit));
         reply.add_beat_lags(reply.revision() - std::min(revision, reply.revision()));
     }
 }
 
-// A revision counts whatever the age of the message: what is in force never goes back. The instant of a heartbeat is only
-// taken from an answer, whose age is bounded by the moment of asking.
-void ContractExchange::merge(std::uint32_t id, std::uint64_t revision, std::optional<TimePoint> asOf)
+// A revision counts whatever the age of the message, as the revision in force on a VM never decreases. The time of a
+// heartbeat is only taken from a reply, whose age is bounded by the time of the request.
+void ContractExchange::recordHeartbeat(std::uint32_t id, std::uint64_t revision, std::optional<TimePoint> asOf)
 {
     if (id == idOf(tools_.members->self())) {
         return;
     }
-    Beat &beat = beats_[id];
-    beat.revision = std::max(beat.revision, revision);
-    if (asOf && (!beat.asOf || *beat.asOf < *asOf)) {
-        beat.asOf = asOf;
+    PeerHeartbeat &heartbeat = heartbeats_[id];
+    heartbeat.revision = std::max(heartbeat.revision, revision);
+    if (asOf && (!heartbeat.asOf || *heartbeat.asOf < *asOf)) {
+        heartbeat.asOf = asOf;
     }
 }
 
--- a/src/contract/internal/contractlocations.cpp
+++ b/src/contract/internal/contractlocations.cpp
@@ -9,19 +9,19 @@
 
 namespace {
 
-using AddPlace = std::function<void(const std::string &path, const Json::Value &value)>;
+using AddLocation = std::function<void(const std::string &path, const Json::Value &value)>;
 
-/// How the elements of a list of the contract are named in a path.
+/// How the elements of one list of the contract are named in paths.
 struct NamedList {
     const char *list;
     const char *nameMember;
-    const char *secondMember; ///< Joined to the name; may be null.
+    const char *secondMember; ///< Appended to the name; may be null.
 };
 
 constexpr std::array<NamedList, 4> NamedLists{
     {{"keys", "name", nullptr}, {"classes", "name", nullptr}, {"models", "model", nullptr}, {"services", "service", "path"}}};
 
-void addMembers(const std::string &path, const Json::Value &object, const AddPlace &add)
+void addMembers(const std::string &path, const Json::Value &object, const AddLocation &add)
 {
     add(path, object);
     for (const std::string &name : object.getMemberNames()) {
@@ -29,7 +29,7 @@
     }
 }
 
-void addList(const NamedList &named, const Json::Value &list, const AddPlace &add)
+void addList(const NamedList &named, const Json::Value &list, const AddLocation &add)
 {
     add(named.list, list);
     for (const Json::Value &element : list) {
@@ -52,8 +52,8 @@
         return result;
     }
     const auto add = [&](const std::string &path, const Json::Value &value) {
-        const Finding at = json->findingAt(value, {}, {});
-        result.places_[path] = {at.line, at.column};
+        const Finding location = json->findingAt(value, {}, {});
+        result.locations_[path] = {location.line, location.column};
     };
     const Json::Value &root = json->root();
     add("", root);
@@ -70,11 +70,11 @@
     return result;
 }
 
-void ContractLocations::place(Finding &finding, std::string path) const
+void ContractLocations::locate(Finding &finding, std::string path) const
 {
     while (true) {
-        const auto found = places_.find(path);
-        if (found != places_.end()) {
+        const auto found = locations_.find(path);
+        if (found != locations_.end()) {
             finding.line = found->second.line;
             finding.column = found->second.column;
             return;
--- a/src/contract/internal/contractset.cpp
+++ b/src/contract/internal/contractset.cpp
@@ -23,22 +23,23 @@
     entry->contract = readContract(version.customer, version.text, findings);
     entry->version = version;
     if (hasErrors(findings)) {
-        partLogger("contract")->error("Version {} of {} can't be read: {}", version.version, version.customer, formatFinding(findings.front()));
+        partLogger("contract")->error("Contract version {} of customer {} is invalid: {}", version.version, version.customer, formatFinding(findings.front()));
         return false;
     }
     if (known != byCustomer_.end()) {
-        forgetKeys(known->second->contract);
+        removeKeys(known->second->contract);
     }
     addKeys(entry->contract);
     byCustomer_[version.customer] = entry;
-    partLogger("contract")->info("Version {} of {} is in force. revision={} hops={}", version.version, version.customer, version.revision, version.hops);
-    for (const auto &handler : handlers_) {
+    partLogger("contract")
+        ->info("Contract version {} of customer {} is in force. revision={} hops={}", version.version, version.customer, version.revision, version.hops);
+    for (const auto &handler : changeHandlers_) {
         handler(*entry);
     }
     return true;
 }
 
-void ContractSet::forgetKeys(const Contract &contract)
+void ContractSet::removeKeys(const Contract &contract)
 {
     for (const ApiKey &key : contract.keys) {
         const auto found = customersByKeyHash_.find(key.sha256);
@@ -114,7 +115,7 @@
 
 void ContractSet::onChange(std::function<void(const ContractInForce &)> handler)
 {
-    handlers_.push_back(std::move(handler));
+    changeHandlers_.push_back(std::move(handler));
 }
 
 void ContractSet::onRevision(std::function<void()> handler)
--- a/src/contract/internal/contractstore.cpp
+++ b/src/contract/internal/contractstore.cpp
@@ -12,16 +12,16 @@
 constexpr char CurrentPartition[] = "contracts";
 constexpr char LogPartition[] = "contracts-log";
 constexpr char HistoryPrefix[] = "contract-history#";
-constexpr std::size_t MostCustomers = 10000;
-constexpr int MostTries = 20;
-constexpr Duration LongestPause = std::chrono::milliseconds(20); ///< Per try made before.
+constexpr std::size_t MaxCustomers = 10000;
+constexpr int MaxAttempts = 20;
+constexpr Duration MaxBackoffPerAttempt = std::chrono::milliseconds(20); ///< Per attempt made so far.
 
 std::string sortKey(std::uint64_t number)
 {
     return fmt::format("{:020}", number);
 }
 
-std::uint64_t numberOf(const std::string &text)
+std::uint64_t parseNumber(const std::string &text)
 {
     return text.empty() ? 0 : std::stoull(text);
 }
@@ -44,16 +44,17 @@
 {
     ContractVersion version;
     version.customer = table::attribute(item, "customer");
-    version.version = numberOf(table::attribute(item, "version"));
-    version.revision = numberOf(table::attribute(item, "revision"));
+    version.version = parseNumber(table::attribute(item, "version"));
+    version.revision = parseNumber(table::attribute(item, "revision"));
     version.text = table::attribute(item, "text");
     version.author = table::attribute(item, "author");
     version.editId = table::attribute(item, "editId");
-    version.acceptedAtMs = static_cast<std::int64_t>(numberOf(table::attribute(item, "acceptedAtMs")));
+    version.acceptedAtMs = static_cast<std::int64_t>(parseNumber(table::attribute(item, "acceptedAtMs")));
     return version;
 }
 
-table::Condition unchanged(const char *attribute, std::uint64_t value)
+/// Holds if @p attribute equals @p value; for 0, if the item does not exist.
+table::Condition hasValue(const char *attribute, std::uint64_t value)
 {
     if (value == 0) {
         return {table::ConditionKind::ItemAbsent, {}, {}};
@@ -78,22 +79,22 @@
 
 } // namespace
 
-/// One apply(), over its tries.
-struct ContractStore::Attempt {
+/// One call of apply(), over all its attempts.
+struct ContractStore::PendingEdit {
     Edit edit;
-    EditValidator judge;
+    EditValidator validator;
     EditHandler handler;
-    int tries = 0;
-    bool mayBeWritten = false; ///< An earlier try ended with an unknown outcome.
+    int attempts = 0;
+    bool mayHaveBeenWritten = false; ///< An earlier attempt had an unknown outcome.
 
-    void end(EditOutcome outcome, ContractVersion current, std::string message)
+    void finish(EditOutcome outcome, ContractVersion current, std::string message)
     {
         handler(EditResult{outcome, std::move(current), std::move(message), {}});
     }
 
-    void endUnanswered(const std::string &error)
+    void finishWithoutAnswer(const std::string &error)
     {
-        end(mayBeWritten ? EditOutcome::Unknown : EditOutcome::Unavailable, {}, error);
+        finish(mayHaveBeenWritten ? EditOutcome::Unknown : EditOutcome::Unavailable, {}, error);
     }
 };
 
@@ -105,74 +106,74 @@
     return store;
 }
 
-void ContractStore::apply(Edit edit, EditValidator judge, EditHandler handler)
+void ContractStore::apply(Edit edit, EditValidator validator, EditHandler handler)
 {
-    auto attempt = std::make_shared<Attempt>();
-    attempt->edit = std::move(edit);
-    attempt->judge = std::move(judge);
-    attempt->handler = std::move(handler);
-    tryOnce(attempt);
+    auto pending = std::make_shared<PendingEdit>();
+    pending->edit = std::move(edit);
+    pending->validator = std::move(validator);
+    pending->handler = std::move(handler);
+    startAttempt(pending);
 }
 
-// The version after the one that the edit replaces tells all: it is this very edit (so a repeat after a lost answer is no
-// conflict), another one, or not there yet.
-void ContractStore::tryOnce(std::shared_ptr<Attempt> attempt)
+// Reads the version after the one that the edit replaces. It is this edit (so a repeat after a lost answer is no conflict),
+// a conflicting edit, or not written yet.
+void ContractStore::startAttempt(std::shared_ptr<PendingEdit> pending)
 {
-    attempt->tries++;
-    const Edit &edit = attempt->edit;
-    getVersion({HistoryPrefix + edit.customer, sortKey(edit.baseVersion + 1)}, [this, attempt](Result<std::vector<ContractVersion>> next) {
+    pending->attempts++;
+    const Edit &edit = pending->edit;
+    getVersion({HistoryPrefix + edit.customer, sortKey(edit.baseVersion + 1)}, [this, pending](Result<std::vector<ContractVersion>> next) {
         if (!next) {
-            attempt->endUnanswered(next.error().message);
+            pending->finishWithoutAnswer(next.error().message);
             return;
         }
         if (next.value().empty()) {
-            judge(attempt);
+            validate(pending);
             return;
         }
         const ContractVersion &version = next.value().front();
-        if (version.editId == attempt->edit.editId) {
-            attempt->end(EditOutcome::Accepted, version, "accepted");
+        if (version.editId == pending->edit.editId) {
+            pending->finish(EditOutcome::Accepted, version, "accepted");
             return;
         }
-        attempt->end(EditOutcome::Conflict, version, fmt::format("version {} by {} came first", version.version, version.author));
+        pending->finish(EditOutcome::Conflict, version, fmt::format("version {} by {} came first", version.version, version.author));
     });
 }
 
-void ContractStore::judge(std::shared_ptr<Attempt> attempt)
+void ContractStore::validate(std::shared_ptr<PendingEdit> pending)
 {
-    current(attempt->edit.customer, [this, attempt](Result<std::vector<ContractVersion>> found) {
+    current(pending->edit.customer, [this, pending](Result<std::vector<ContractVersion>> found) {
         if (!found) {
-            attempt->endUnanswered(found.error().message);
+            pending->finishWithoutAnswer(found.error().message);
             return;
         }
         const ContractVersion *replaced = found.value().empty() ? nullptr : &found.value().front();
         const std::uint64_t version = replaced ? replaced->version : 0;
-        if (version > attempt->edit.baseVersion) {
-            tryAgain(attempt, "another edit came first");
+        if (version > pending->edit.baseVersion) {
+            scheduleRetry(pending, "another edit came first");
             return;
         }
-        if (version < attempt->edit.baseVersion) {
-            attempt->end(EditOutcome::Conflict, replaced ? *replaced : ContractVersion{}, fmt::format("there is no version {}", attempt->edit.baseVersion));
+        if (version < pending->edit.baseVersion) {
+            pending->finish(EditOutcome::Conflict, replaced ? *replaced : ContractVersion{}, fmt::format("there is no version {}", pending->edit.baseVersion));
             return;
         }
-        Findings findings = attempt->judge(replaced);
+        Findings findings = pending->validator(replaced);
         if (!findings.empty()) {
-            attempt->handler(EditResult{EditOutcome::Rejected, {}, "rejected", std::move(findings)});
+            pending->handler(EditResult{EditOutcome::Rejected, {}, "rejected", std::move(findings)});
             return;
         }
-        headRevision([this, attempt](Result<std::uint64_t> head) {
+        headRevision([this, pending](Result<std::uint64_t> head) {
             if (!head) {
-                attempt->endUnanswered(head.error().message);
+                pending->finishWithoutAnswer(head.error().message);
                 return;
             }
-            write(attempt, head.value());
+            write(pending, head.value());
         });
     });
 }
 
-void ContractStore::write(std::shared_ptr<Attempt> attempt, std::uint64_t head)
+void ContractStore::write(std::shared_ptr<PendingEdit> pending, std::uint64_t head)
 {
-    const Edit &edit = attempt->edit;
+    const Edit &edit = pending->edit;
     ContractVersion version;
     version.customer = edit.customer;
     version.version = edit.baseVersion + 1;
@@ -185,34 +186,34 @@
     table::Item headItem{{HeadPartition, "head"}, {{"revision", std::to_string(head + 1)}}};
     const table::Condition absent{table::ConditionKind::ItemAbsent, {}, {}};
     std::vector<table::Write> writes;
-    writes.push_back({table::WriteKind::Put, std::move(headItem), unchanged("revision", head)});
-    writes.push_back({table::WriteKind::Put, toItem(version, {CurrentPartition, edit.customer}), unchanged("version", edit.baseVersion)});
+    writes.push_back({table::WriteKind::Put, std::move(headItem), hasValue("revision", head)});
+    writes.push_back({table::WriteKind::Put, toItem(version, {CurrentPartition, edit.customer}), hasValue("version", edit.baseVersion)});
     writes.push_back({table::WriteKind::Put, toItem(version, {HistoryPrefix + edit.customer, sortKey(version.version)}), absent});
     writes.push_back({table::WriteKind::Put, toItem(version, {LogPartition, sortKey(version.revision)}), absent});
-    // NOTE No client token: a second try may carry another head revision, and a token must stand for one body.
-    table_->transact(std::move(writes), {}, [this, attempt, version](table::WriteResult result) { onWritten(attempt, version, result); });
+    // NOTE No client token: a later attempt may have another head revision, and a token may only be used with one body.
+    table_->transact(std::move(writes), {}, [this, pending, version](table::WriteResult result) { onWritten(pending, version, result); });
 }
 
-void ContractStore::onWritten(std::shared_ptr<Attempt> attempt, const ContractVersion &written, const table::WriteResult &result)
+void ContractStore::onWritten(std::shared_ptr<PendingEdit> pending, const ContractVersion &written, const table::WriteResult &result)
 {
     if (result.outcome == table::WriteOutcome::Written) {
-        attempt->end(EditOutcome::Accepted, written, "accepted");
+        pending->finish(EditOutcome::Accepted, written, "accepted");
         return;
     }
-    attempt->mayBeWritten = attempt->mayBeWritten || result.outcome == table::WriteOutcome::Unknown;
-    tryAgain(attempt, result.error);
+    pending->mayHaveBeenWritten = pending->mayHaveBeenWritten || result.outcome == table::WriteOutcome::Unknown;
+    scheduleRetry(pending, result.error);
 }
 
-// Edits of different customers race for the head revision; a pause that differs between them lets each through.
-void ContractStore::tryAgain(std::shared_ptr<Attempt> attempt, const std::string &error)
+// Edits of different customers compete for the head revision; a backoff that depends on the edit id lets each succeed.
+void ContractStore::scheduleRetry(std::shared_ptr<PendingEdit> pending, const std::string &error)
 {
-    if (attempt->tries >= MostTries) {
-        attempt->endUnanswered(error);
+    if (pending->attempts >= MaxAttempts) {
+        pending->finishWithoutAnswer(error);
         return;
     }
-    const auto longest = static_cast<std::uint64_t>(LongestPause.count()) * static_cast<std::uint64_t>(attempt->tries);
-    const std::uint64_t pause = text::stableHash(attempt->edit.editId, static_cast<std::uint64_t>(attempt->tries)) % longest;
-    loop_->after(Duration(static_cast<std::int64_t>(pause)), [this, attempt] { tryOnce(attempt); });
+    const auto maxBackoff = static_cast<std::uint64_t>(MaxBackoffPerAttempt.count()) * static_cast<std::uint64_t>(pending->attempts);
+    const std::uint64_t backoff = text::stableHash(pending->edit.editId, static_cast<std::uint64_t>(pending->attempts)) % maxBackoff;
+    loop_->after(Duration(static_cast<std::int64_t>(backoff)), [this, pending] { startAttempt(pending); });
 }
 
 void ContractStore::getVersion(table::Key key, VersionsHandler handler)
@@ -242,13 +243,13 @@
             handler(item.error());
             return;
         }
-        handler(item.value() ? numberOf(table::attribute(*item.value(), "revision")) : std::uint64_t{0});
+        handler(item.value() ? parseNumber(table::attribute(*item.value(), "revision")) : std::uint64_t{0});
     });
 }
 
 void ContractStore::readAll(VersionsHandler handler)
 {
-    table_->query(CurrentPartition, {}, MostCustomers, toVersions(std::move(handler)));
+    table_->query(CurrentPartition, {}, MaxCustomers, toVersions(std::move(handler)));
 }
 
 void ContractStore::history(std::string customer, std::uint64_t after, VersionsHandler handler)
--- a/src/contract/internal/contractsync.cpp
+++ b/src/contract/internal/contractsync.cpp
@@ -8,20 +8,20 @@
 
 namespace {
 
-constexpr Duration ShortestPeriod = std::chrono::milliseconds(500);
+constexpr Duration MinPeriod = std::chrono::milliseconds(500);
 constexpr Duration PeriodPerVm = std::chrono::milliseconds(100);
 
 } // namespace
 
 Duration pollPeriod(std::size_t listed)
 {
-    return std::max(ShortestPeriod, PeriodPerVm * static_cast<std::int64_t>(listed));
+    return std::max(MinPeriod, PeriodPerVm * static_cast<std::int64_t>(listed));
 }
 
 Duration pollDelay(Duration period, std::string_view instance, std::uint64_t count)
 {
-    const auto spread = static_cast<std::uint64_t>(period.count());
-    return period / 2 + Duration(static_cast<std::int64_t>(text::stableHash(instance, count) % spread));
+    const auto periodUs = static_cast<std::uint64_t>(period.count());
+    return period / 2 + Duration(static_cast<std::int64_t>(text::stableHash(instance, count) % periodUs));
 }
 
 std::shared_ptr<ContractSync> ContractSync::create(EventLoop &loop, std::shared_ptr<ContractStore> store, std::shared_ptr<ContractSet> set)
@@ -41,10 +41,10 @@
     schedule();
 }
 
-// A VM that has not got the contracts yet does not wait for its turn.
+// A VM without the contracts polls with the shortest period, whatever the number of VMs.
 void ContractSync::schedule()
 {
-    const Duration period = hasAllContracts_ ? pollPeriod(listed_()) : ShortestPeriod;
+    const Duration period = hasAllContracts_ ? pollPeriod(listed_()) : MinPeriod;
     loop_->after(pollDelay(period, instance_, polls_++), [this] {
         poll();
         schedule();
@@ -88,10 +88,10 @@
         return;
     }
     busy_ = true;
-    store_->headRevision([this, asked = loop_->now()](Result<std::uint64_t> head) { onHead(std::move(head), asked); });
+    store_->headRevision([this, requestedAt = loop_->now()](Result<std::uint64_t> head) { onHead(std::move(head), requestedAt); });
 }
 
-void ContractSync::onHead(Result<std::uint64_t> head, TimePoint asked)
+void ContractSync::onHead(Result<std::uint64_t> head, TimePoint requestedAt)
 {
     if (!head) {
         busy_ = false;
@@ -102,17 +102,18 @@
         return;
     }
     if (head.value() > set_->revision()) {
-        readChanges(head.value(), asked);
+        readChanges(head.value(), requestedAt);
         return;
     }
     busy_ = false;
-    confirm(asked);
+    confirm(requestedAt);
 }
 
-// The head was read first: contracts read after it are at least as new. Some may be newer; the log up to those follows.
+// The head revision was read first, so the contracts are at least as new. Some may be newer; readChanges() then reads the
+// log entries after the head.
 void ContractSync::readAll(std::uint64_t revision)
 {
-    store_->readAll([this, revision, asked = loop_->now()](Result<std::vector<ContractVersion>> versions) {
+    store_->readAll([this, revision, requestedAt = loop_->now()](Result<std::vector<ContractVersion>> versions) {
         if (!versions) {
             busy_ = false;
             return;
@@ -121,32 +122,32 @@
             set_->applyIfNewer(version);
         }
         set_->setRevision(revision);
-        readChanges(revision, asked);
+        readChanges(revision, requestedAt);
     });
 }
 
-void ContractSync::readChanges(std::uint64_t head, TimePoint asked)
+void ContractSync::readChanges(std::uint64_t head, TimePoint requestedAt)
 {
-    store_->changesAfter(set_->revision(), [this, head, asked](Result<std::vector<ContractVersion>> versions) {
+    store_->changesAfter(set_->revision(), [this, head, requestedAt](Result<std::vector<ContractVersion>> versions) {
         if (!versions) {
             busy_ = false;
             return;
         }
-        if (takeOver(versions.value())) {
-            readChanges(head, asked);
+        if (applyLogEntries(versions.value())) {
+            readChanges(head, requestedAt);
             return;
         }
         busy_ = false;
         if (set_->revision() >= head) {
             setHasAllContracts();
-            confirm(asked);
+            confirm(requestedAt);
         }
     });
 }
 
-// NOTE A query is no snapshot: entries written while it runs may be seen without the ones before them. What comes after
-// a gap is left to the next reading. Says whether more may follow.
-bool ContractSync::takeOver(const std::vector<ContractVersion> &versions)
+// NOTE A query is not a snapshot: it may return an entry written while it runs without the entries before it. Entries after
+// a gap are left to the next poll. Returns true if more entries may follow.
+bool ContractSync::applyLogEntries(const std::vector<ContractVersion> &versions)
 {
     for (const ContractVersion &version : versions) {
         if (version.revision > set_->revision() + 1) {
--- a/src/contract/internal/freshness.cpp
+++ b/src/contract/internal/freshness.cpp
@@ -14,8 +14,8 @@
     return inputs.listKnown && inputs.hasAllContracts && inputs.heard + 1 >= majorityOf(inputs.listed);
 }
 
-// NOTE A VM that starts without contracts does not count itself: an earlier instance on it may have held the edit that
-// the others lack, and that memory is lost.
+// NOTE A VM that starts without contracts does not count itself: an earlier process on it may have held an edit that the
+// others lack, and lost it with its memory.
 bool completeFromPeers(const FreshnessInputs &inputs)
 {
     const std::size_t others = inputs.listed - 1;
