--- a/src/contract/freshness.h
+++ b/src/contract/freshness.h
@@ -8,7 +8,7 @@
 
 namespace cardamomlift::contract {
 
-/// Maximum age of the last confirmation that no accepted edit is missing on this VM.
+/// Maximum age of the evidence, a read of the table or a heartbeat, that no accepted edit is missing on this VM.
 inline constexpr Duration FreshnessBound = std::chrono::seconds(4);
 
 /// The inputs of evaluateFreshness(). Ages are measured with the clock of the event loop.
@@ -32,8 +32,8 @@
 std::size_t majorityOf(std::size_t listed);
 /// True if this VM and those it hears are a majority, so that it may accept an edit.
 bool hearsMajority(const FreshnessInputs &inputs);
-/// True if a VM that started without contracts has received all of them: it has pulled from a majority, not counting
-/// itself, or from all others.
+/// True if a VM that started without contracts has received all of them from peers: it hears a majority
+/// without counting itself, or all others.
 bool completeFromPeers(const FreshnessInputs &inputs);
 /// Decides whether this VM may accept new work (see mayTakeNewWork()), and why.
 FreshnessReason evaluateFreshness(const FreshnessInputs &inputs);
--- a/src/contract/tests/contractexchange_test.cpp
+++ b/src/contract/tests/contractexchange_test.cpp
@@ -14,7 +14,7 @@
 
 namespace {
 
-constexpr Duration Step = std::chrono::milliseconds(10);
+constexpr Duration ClockStep = std::chrono::milliseconds(10);
 
 std::string contractText(int requestsPerSecond)
 {
@@ -24,7 +24,7 @@
         requestsPerSecond);
 }
 
-/// The parts of one entry VM that have to do with contracts.
+/// The contract components of one entry VM.
 struct Node {
     std::string instance;
     std::shared_ptr<table::MemoryTable> table;
@@ -35,7 +35,7 @@
     std::shared_ptr<ContractSync> sync;
     std::shared_ptr<ContractExchange> exchange;
 
-    bool serves() const
+    bool acceptsNewWork() const
     {
         return mayTakeNewWork(exchange->freshness());
     }
@@ -47,11 +47,11 @@
     }
 };
 
-/// Several entry VMs over one table and one network, on one paused clock.
-class Vms
+/// Several entry VMs that share one table and one simulated network, on one manual clock.
+class TestCluster
 {
 public:
-    explicit Vms(int count)
+    explicit TestCluster(int count)
         : network(std::make_shared<peers::LocalNetwork>())
         , rows(std::make_shared<table::MemoryRows>())
     {
@@ -64,7 +64,7 @@
         }
         for (int i = 1; i <= count; i++) {
             add(fmt::format("entry-{}", i));
-            run(Duration(7000)); // So that they don't all work at the same instant.
+            run(Duration(7000)); // So that the timers of the VMs do not coincide.
         }
     }
 
@@ -88,7 +88,7 @@
         nodes.push_back(std::move(node));
     }
 
-    /// Takes VM @p index off the list and starts another one, which knows nothing.
+    /// Removes VM @p index from the VM list and starts a new one, without any contracts.
     void replace(std::size_t index, const std::string &instance)
     {
         std::erase_if(list_, [&](const membership::Vm &vm) { return vm.instance == nodes[index]->instance; });
@@ -96,9 +96,9 @@
         vm.instance = instance;
         vm.peerPort = 1;
         list_.push_back(vm);
-        cut(index);
+        isolate(index);
         nodes[index]->table->faults.down = true;
-        retired.push_back(std::move(nodes[index]));
+        removedNodes.push_back(std::move(nodes[index]));
         nodes.erase(nodes.begin() + static_cast<std::ptrdiff_t>(index));
         add(instance);
         for (const auto &node : nodes) {
@@ -110,19 +110,19 @@
     {
         const TimePoint end = clock.now() + duration;
         while (clock.now() < end) {
-            clock.advance(std::min<Duration>(Step, std::chrono::duration_cast<Duration>(end - clock.now())));
+            clock.advance(std::min<Duration>(ClockStep, std::chrono::duration_cast<Duration>(end - clock.now())));
             for (int i = 0; i < 4; i++) {
-                loop->runDue(); // A question, its answer and what follows from it.
+                loop->runDue(); // A request, its reply and the calls that follow.
             }
         }
     }
 
-    /// Runs until @p condition holds, at most @p bound on the paused clock; says how long it took.
-    Duration runUntil(const std::function<bool()> &condition, Duration bound)
+    /// Runs until @p condition holds, for at most @p limit on the manual clock; returns the time taken.
+    Duration runUntil(const std::function<bool()> &condition, Duration limit)
     {
         const TimePoint start = clock.now();
-        while (!condition() && clock.now() - start < bound) {
-            run(Step);
+        while (!condition() && clock.now() - start < limit) {
+            run(ClockStep);
         }
         EXPECT_TRUE(condition());
         return std::chrono::duration_cast<Duration>(clock.now() - start);
@@ -139,8 +139,8 @@
         nodes[index]->sync->poll();
     }
 
-    /// Cuts a VM off from all others, in both directions.
-    void cut(std::size_t index)
+    /// Partitions a VM from all others, in both directions.
+    void isolate(std::size_t index)
     {
         for (const auto &other : nodes) {
             network->cuts.insert({nodes[index]->instance, other->instance});
@@ -148,7 +148,7 @@
         }
     }
 
-    void setTable(bool down)
+    void setTableDown(bool down)
     {
         tableFaults.down = down;
         for (const auto &node : nodes) {
@@ -156,14 +156,14 @@
         }
     }
 
-    std::size_t countAt(std::uint64_t version) const
+    std::size_t countAtVersion(std::uint64_t version) const
     {
         return static_cast<std::size_t>(std::count_if(nodes.begin(), nodes.end(), [&](const auto &node) { return node->version() == version; }));
     }
 
-    std::size_t countServing() const
+    std::size_t countAcceptingNewWork() const
     {
-        return static_cast<std::size_t>(std::count_if(nodes.begin(), nodes.end(), [](const auto &node) { return node->serves(); }));
+        return static_cast<std::size_t>(std::count_if(nodes.begin(), nodes.end(), [](const auto &node) { return node->acceptsNewWork(); }));
     }
 
     ManualClock clock;
@@ -172,7 +172,7 @@
     std::shared_ptr<table::MemoryRows> rows;
     table::MemoryTableFaults tableFaults;
     std::vector<std::unique_ptr<Node>> nodes;
-    std::vector<std::unique_ptr<Node>> retired;
+    std::vector<std::unique_ptr<Node>> removedNodes;
 
 private:
     std::vector<membership::Vm> list_;
@@ -185,146 +185,147 @@
 
 } // namespace
 
-TEST(ContractExchange, AVmCutOffFromTheTableGetsEditsFromPeers)
+TEST(ContractExchange, VmWithoutTheTableGetsEditsFromPeers)
 {
-    Vms vms(5);
-    vms.nodes[4]->table->faults.down = true;
-    vms.edit(0, 10, 0);
-    vms.runUntil([&] { return vms.countAt(1) == 5; }, seconds(4));
-    vms.run(seconds(20));
-    EXPECT_EQ(vms.countServing(), 5U);
-    EXPECT_EQ(vms.nodes[4]->exchange->freshness(), FreshnessReason::ConfirmedByTable) << "the age of peers' readings counts";
+    TestCluster cluster(5);
+    cluster.nodes[4]->table->faults.down = true;
+    cluster.edit(0, 10, 0);
+    cluster.runUntil([&] { return cluster.countAtVersion(1) == 5; }, seconds(4));
+    cluster.run(seconds(20));
+    EXPECT_EQ(cluster.countAcceptingNewWork(), 5U);
+    EXPECT_EQ(cluster.nodes[4]->exchange->freshness(), FreshnessReason::ConfirmedByTable) << "confirmations by the table received from peers count";
 }
 
-TEST(ContractExchange, AVmCutOffFromBothTakesNoNewWorkUntilItIsBack)
+TEST(ContractExchange, IsolatedVmRefusesNewWorkUntilReconnected)
 {
-    Vms vms(3);
-    vms.edit(0, 10, 0);
-    vms.run(seconds(2));
-    vms.cut(2);
-    vms.nodes[2]->table->faults.down = true;
-    vms.run(FreshnessBound + seconds(1));
-    EXPECT_EQ(vms.nodes[2]->exchange->freshness(), FreshnessReason::CutOff);
-    EXPECT_EQ(vms.countServing(), 2U);
-    vms.edit(0, 20, 1);
-    vms.run(seconds(2));
-    EXPECT_EQ(vms.nodes[2]->version(), 1U);
-    vms.network->cuts.clear();
-    vms.runUntil([&] { return vms.countServing() == 3; }, seconds(4));
-    EXPECT_EQ(vms.nodes[2]->version(), 2U) << "it may not serve before it has the edit";
+    TestCluster cluster(3);
+    cluster.edit(0, 10, 0);
+    cluster.run(seconds(2));
+    cluster.isolate(2);
+    cluster.nodes[2]->table->faults.down = true;
+    cluster.run(FreshnessBound + seconds(1));
+    EXPECT_EQ(cluster.nodes[2]->exchange->freshness(), FreshnessReason::CutOff);
+    EXPECT_EQ(cluster.countAcceptingNewWork(), 2U);
+    cluster.edit(0, 20, 1);
+    cluster.run(seconds(2));
+    EXPECT_EQ(cluster.nodes[2]->version(), 1U);
+    cluster.network->cuts.clear();
+    cluster.runUntil([&] { return cluster.countAcceptingNewWork() == 3; }, seconds(4));
+    EXPECT_EQ(cluster.nodes[2]->version(), 2U) << "it must not accept new work before it has the edit";
 }
 
-TEST(ContractExchange, AnOutageOfTheTableForEveryoneStopsNobody)
+TEST(ContractExchange, TableOutageStopsNoVm)
 {
-    Vms vms(9);
-    vms.edit(0, 10, 0);
-    vms.run(seconds(3));
-    vms.setTable(true);
+    TestCluster cluster(9);
+    cluster.edit(0, 10, 0);
+    cluster.run(seconds(3));
+    cluster.setTableDown(true);
     for (int second = 0; second < 60; second++) {
-        vms.run(seconds(1));
-        ASSERT_EQ(vms.countServing(), 9U) << "after " << second << " s";
+        cluster.run(seconds(1));
+        ASSERT_EQ(cluster.countAcceptingNewWork(), 9U) << "after " << second << " s";
     }
-    EXPECT_EQ(vms.nodes[0]->exchange->freshness(), FreshnessReason::ConfirmedByMajority);
+    EXPECT_EQ(cluster.nodes[0]->exchange->freshness(), FreshnessReason::ConfirmedByMajority);
 }
 
-TEST(ContractExchange, AMinorityWithoutTheTableStops)
+TEST(ContractExchange, MinorityPartitionWithoutTheTableRefusesNewWork)
 {
-    Vms vms(5);
-    vms.edit(0, 10, 0);
-    vms.run(seconds(3));
-    vms.cut(3);
-    vms.cut(4);
-    vms.network->cuts.erase({"entry-4", "entry-5"});
-    vms.network->cuts.erase({"entry-5", "entry-4"});
-    vms.setTable(true);
-    vms.run(FreshnessBound + seconds(2));
-    EXPECT_EQ(vms.countServing(), 3U);
-    EXPECT_FALSE(vms.nodes[3]->serves());
-    EXPECT_FALSE(vms.nodes[4]->serves());
+    TestCluster cluster(5);
+    cluster.edit(0, 10, 0);
+    cluster.run(seconds(3));
+    cluster.isolate(3);
+    cluster.isolate(4);
+    cluster.network->cuts.erase({"entry-4", "entry-5"});
+    cluster.network->cuts.erase({"entry-5", "entry-4"});
+    cluster.setTableDown(true);
+    cluster.run(FreshnessBound + seconds(2));
+    EXPECT_EQ(cluster.countAcceptingNewWork(), 3U);
+    EXPECT_FALSE(cluster.nodes[3]->acceptsNewWork());
+    EXPECT_FALSE(cluster.nodes[4]->acceptsNewWork());
 }
 
-TEST(ContractExchange, AFirstBootInAnOutageWaitsForAMajorityOfTheOthers)
+TEST(ContractExchange, NewVmDuringATableOutageWaitsForAMajorityOfTheOthers)
 {
-    Vms vms(3);
-    vms.edit(0, 10, 0);
-    vms.run(seconds(3));
-    vms.nodes[1]->table->faults.down = true;
-    vms.cut(1);
-    vms.edit(0, 20, 1); // In force at entry-1 and entry-3, unknown to entry-2.
-    vms.run(seconds(1));
-    vms.setTable(true);
-    vms.replace(0, "entry-4");
-    vms.network->cuts.insert({"entry-4", "entry-3"});
-    vms.network->cuts.erase({"entry-4", "entry-2"});
-    vms.run(seconds(10));
-    Node &fresh = *vms.nodes.back();
-    EXPECT_EQ(fresh.exchange->freshness(), FreshnessReason::NoContracts) << "only the VM that is behind answered";
-    vms.network->cuts.clear();
-    vms.runUntil([&] { return fresh.serves(); }, seconds(5));
-    EXPECT_EQ(fresh.version(), 2U);
+    TestCluster cluster(3);
+    cluster.edit(0, 10, 0);
+    cluster.run(seconds(3));
+    cluster.nodes[1]->table->faults.down = true;
+    cluster.isolate(1);
+    cluster.edit(0, 20, 1); // In force on entry-1 and entry-3, unknown to entry-2.
+    cluster.run(seconds(1));
+    cluster.setTableDown(true);
+    cluster.replace(0, "entry-4");
+    cluster.network->cuts.insert({"entry-4", "entry-3"});
+    cluster.network->cuts.erase({"entry-4", "entry-2"});
+    cluster.run(seconds(10));
+    Node &newNode = *cluster.nodes.back();
+    EXPECT_EQ(newNode.exchange->freshness(), FreshnessReason::NoContracts) << "only the VM without the edit has replied";
+    cluster.network->cuts.clear();
+    cluster.runUntil([&] { return newNode.acceptsNewWork(); }, seconds(5));
+    EXPECT_EQ(newNode.version(), 2U);
 }
 
-TEST(ContractExchange, WhenAllForgotInAnOutageNobodyServes)
+TEST(ContractExchange, ReplacingAllVmsDuringATableOutageStopsNewWork)
 {
-    Vms vms(3);
-    vms.edit(0, 10, 0);
-    vms.run(seconds(2));
-    vms.setTable(true);
+    TestCluster cluster(3);
+    cluster.edit(0, 10, 0);
+    cluster.run(seconds(2));
+    cluster.setTableDown(true);
     for (int i = 0; i < 3; i++) {
-        vms.replace(0, fmt::format("entry-{}", i + 10));
+        cluster.replace(0, fmt::format("entry-{}", i + 10));
     }
-    vms.network->cuts.clear();
-    vms.run(seconds(10));
-    EXPECT_EQ(vms.countServing(), 0U);
-    vms.setTable(false);
-    vms.runUntil([&] { return vms.countServing() == 3; }, seconds(5));
-    EXPECT_EQ(vms.countAt(1), 3U);
+    cluster.network->cuts.clear();
+    cluster.run(seconds(10));
+    EXPECT_EQ(cluster.countAcceptingNewWork(), 0U);
+    cluster.setTableDown(false);
+    cluster.runUntil([&] { return cluster.countAcceptingNewWork() == 3; }, seconds(5));
+    EXPECT_EQ(cluster.countAtVersion(1), 3U);
 }
 
-// At the size to come: what an edit costs, how soon it is everywhere, and that nobody stops without need.
-TEST(ContractExchange, Costs380VmsLittleAndReachesThemInTime)
+// Measures, at the planned fleet size, the table reads and bytes sent when idle, the time until an edit is in force on all
+// VMs, and the bytes sent during a table outage. Guards against VMs that stop accepting new work needlessly.
+TEST(ContractExchange, BoundsTheCostAndDelayOfAnEditWith380Vms)
 {
     constexpr int Count = 380;
-    constexpr int Calm = 10;
-    Vms vms(Count);
-    vms.edit(0, 10, 0);
-    vms.run(seconds(25));
+    constexpr int MeasuredSeconds = 10;
+    TestCluster cluster(Count);
+    cluster.edit(0, 10, 0);
+    cluster.run(seconds(25));
     std::uint64_t reads = 0;
     std::uint64_t bytes = 0;
-    const auto sum = [&] {
+    const auto sumCounters = [&] {
         reads = 0;
         bytes = 0;
-        for (const auto &node : vms.nodes) {
+        for (const auto &node : cluster.nodes) {
             reads += node->table->counters().reads;
             bytes += node->exchange->counters().bytesSent;
         }
     };
-    sum();
+    sumCounters();
     const std::uint64_t readsBefore = reads;
     const std::uint64_t bytesBefore = bytes;
-    for (int second = 0; second < Calm; second++) {
-        vms.run(seconds(1));
-        ASSERT_EQ(vms.countServing(), vms.nodes.size());
+    for (int second = 0; second < MeasuredSeconds; second++) {
+        cluster.run(seconds(1));
+        ASSERT_EQ(cluster.countAcceptingNewWork(), cluster.nodes.size());
     }
-    sum();
-    std::cout << "Calm: table reads a second, all VMs: " << double(reads - readsBefore) / Calm
-              << "; bytes sent a second and VM: " << double(bytes - bytesBefore) / Calm / Count << "\n";
-    EXPECT_LE(reads - readsBefore, 11U * Calm);
-    vms.edit(7, 20, 1);
-    const Duration delay = vms.runUntil([&] { return vms.countAt(2) == Count; }, seconds(5));
+    sumCounters();
+    std::cout << "Idle: table reads per second, all VMs: " << double(reads - readsBefore) / MeasuredSeconds
+              << "; bytes sent per second and VM: " << double(bytes - bytesBefore) / MeasuredSeconds / Count << "\n";
+    EXPECT_LE(reads - readsBefore, 11U * MeasuredSeconds);
+    cluster.edit(7, 20, 1);
+    const Duration delay = cluster.runUntil([&] { return cluster.countAtVersion(2) == Count; }, seconds(5));
     std::uint32_t hops = 0;
-    for (const auto &node : vms.nodes) {
+    for (const auto &node : cluster.nodes) {
         hops = std::max(hops, node->set->find("shop")->version.hops);
     }
-    std::cout << "Edit: everywhere after " << delay.count() / 1000 << " ms on a network without delay; most hops: " << hops << "\n";
-    vms.setTable(true);
-    vms.run(seconds(8));
-    sum();
+    std::cout << "Edit: in force on all VMs after " << delay.count() / 1000 << " ms on a network without delay; max hops: " << hops << "\n";
+    cluster.setTableDown(true);
+    cluster.run(seconds(8));
+    sumCounters();
     const std::uint64_t bytesAtOutage = bytes;
-    for (int second = 0; second < Calm; second++) {
-        vms.run(seconds(1));
-        ASSERT_EQ(vms.countServing(), vms.nodes.size()) << "second " << second << " of the outage";
+    for (int second = 0; second < MeasuredSeconds; second++) {
+        cluster.run(seconds(1));
+        ASSERT_EQ(cluster.countAcceptingNewWork(), cluster.nodes.size()) << "second " << second << " of the outage";
     }
-    sum();
-    std::cout << "Outage of the table: bytes sent a second and VM: " << double(bytes - bytesAtOutage) / Calm / Count << "\n";
+    sumCounters();
+    std::cout << "Table outage: bytes sent per second and VM: " << double(bytes - bytesAtOutage) / MeasuredSeconds / Count << "\n";
 }
--- a/src/contract/tests/contractset_test.cpp
+++ b/src/contract/tests/contractset_test.cpp
@@ -9,7 +9,7 @@
 
 constexpr char KeyHash[] = "77cfb708cdcd1d984dbd52883ce90662fd3f0395f7b13ea489aaae44aa22ed23";
 
-ContractVersion versionOf(const std::string &customer, std::uint64_t version, std::uint64_t revision, bool withKey = true)
+ContractVersion makeVersion(const std::string &customer, std::uint64_t version, std::uint64_t revision, bool withKey = true)
 {
     const std::string keys = withKey ? std::string(R"({"name": "desk", "sha256": ")") + KeyHash + "\"}" : "";
     return {customer,
@@ -24,14 +24,14 @@
 
 } // namespace
 
-TEST(ContractSet, VersionsAndRevisionsOnlyRise)
+TEST(ContractSet, NeverDecreasesVersionsOrRevisions)
 {
     const auto set = ContractSet::create();
     int changes = 0;
     set->onChange([&](const ContractInForce &) { changes++; });
-    EXPECT_TRUE(set->applyIfNewer(versionOf("shop", 2, 7)));
-    EXPECT_FALSE(set->applyIfNewer(versionOf("shop", 1, 9)));
-    EXPECT_FALSE(set->applyIfNewer(versionOf("shop", 2, 7)));
+    EXPECT_TRUE(set->applyIfNewer(makeVersion("shop", 2, 7)));
+    EXPECT_FALSE(set->applyIfNewer(makeVersion("shop", 1, 9)));
+    EXPECT_FALSE(set->applyIfNewer(makeVersion("shop", 2, 7)));
     EXPECT_EQ(set->find("shop")->version.version, 2U);
     EXPECT_EQ(changes, 1);
     set->setRevision(7);
@@ -41,16 +41,16 @@
     EXPECT_TRUE(set->newerThan(7).empty());
 }
 
-TEST(ContractSet, AKeyOfTwoCustomersIsTheSameOnesOnEveryVm)
+TEST(ContractSet, EveryVmResolvesASharedKeyToTheSameCustomer)
 {
     const auto one = ContractSet::create();
     const auto other = ContractSet::create();
-    one->applyIfNewer(versionOf("desk", 1, 1));
-    one->applyIfNewer(versionOf("shop", 1, 2));
-    other->applyIfNewer(versionOf("shop", 1, 2));
-    other->applyIfNewer(versionOf("desk", 1, 1));
+    one->applyIfNewer(makeVersion("desk", 1, 1));
+    one->applyIfNewer(makeVersion("shop", 1, 2));
+    other->applyIfNewer(makeVersion("shop", 1, 2));
+    other->applyIfNewer(makeVersion("desk", 1, 1));
     EXPECT_EQ(one->findByKeyHash(KeyHash)->contract.customer, "desk");
     EXPECT_EQ(other->findByKeyHash(KeyHash)->contract.customer, "desk");
-    one->applyIfNewer(versionOf("desk", 2, 3, false));
+    one->applyIfNewer(makeVersion("desk", 2, 3, false));
     EXPECT_EQ(one->findByKeyHash(KeyHash)->contract.customer, "shop");
 }
--- a/src/contract/tests/contractstore_test.cpp
+++ b/src/contract/tests/contractstore_test.cpp
@@ -12,33 +12,33 @@
 
 namespace {
 
-/// What happens to one operation on its way to the table and back.
-enum class Fate {
-    Done,
-    Failed, ///< No effect, and the caller knows: reads fail, writes end as NotWritten.
-    AnswerLost, ///< Takes effect; Unknown.
-    RequestLost, ///< No effect; Unknown.
-    Late, ///< Unknown now; takes effect at some later step.
+/// The outcome of one call to the table.
+enum class CallOutcome {
+    Completed,
+    Failed, ///< No effect, and the caller is told: reads fail, writes return NotWritten.
+    AnswerLost, ///< Takes effect, but returns Unknown.
+    RequestLost, ///< No effect; returns Unknown.
+    AppliedLater, ///< Returns Unknown now; takes effect at a later step.
 };
 
 struct Operation {
     bool isWrite = false;
-    std::function<void(Fate fate)> run;
+    std::function<void(CallOutcome outcome)> run;
 };
 
-/// One actor's way to the shared rows: operations wait until the walk picks them.
-class WalkTable : public table::Table
+/// One operator's connection to the shared rows: reads of one item and writes wait until the interleaving executes them.
+class ScheduledTable : public table::Table
 {
 public:
-    explicit WalkTable(table::MemoryRows &rows)
+    explicit ScheduledTable(table::MemoryRows &rows)
         : rows_(rows)
     {
     }
 
     void get(table::Key key, table::GetHandler handler) override
     {
-        waiting.push_back({false, [this, key = std::move(key), handler = std::move(handler)](Fate fate) {
-                               if (fate == Fate::Done) {
+        waiting.push_back({false, [this, key = std::move(key), handler = std::move(handler)](CallOutcome outcome) {
+                               if (outcome == CallOutcome::Completed) {
                                    handler(rows_.get(key));
                                } else {
                                    handler(failure(ErrorKind::Unavailable, "no answer"));
@@ -58,16 +58,16 @@
 
     void transact(std::vector<table::Write> writes, std::string, table::WriteHandler handler) override
     {
-        waiting.push_back({true, [this, writes = std::move(writes), handler = std::move(handler)](Fate fate) {
-                               if (fate == Fate::Done) {
+        waiting.push_back({true, [this, writes = std::move(writes), handler = std::move(handler)](CallOutcome outcome) {
+                               if (outcome == CallOutcome::Completed) {
                                    handler(rows_.transact(writes, {}));
-                               } else if (fate == Fate::Failed) {
+                               } else if (outcome == CallOutcome::Failed) {
                                    handler({table::WriteOutcome::NotWritten});
                                } else {
-                                   if (fate == Fate::AnswerLost) {
+                                   if (outcome == CallOutcome::AnswerLost) {
                                        rows_.transact(writes, {});
-                                   } else if (fate == Fate::Late) {
-                                       late.push_back(writes);
+                                   } else if (outcome == CallOutcome::AppliedLater) {
+                                       delayedWrites.push_back(writes);
                                    }
                                    handler({table::WriteOutcome::Unknown});
                                }
@@ -79,61 +79,62 @@
         return counters_;
     }
 
-    void land()
+    void applyDelayedWrite()
     {
-        rows_.transact(late.front(), {});
-        late.pop_front();
+        rows_.transact(delayedWrites.front(), {});
+        delayedWrites.pop_front();
     }
 
     std::deque<Operation> waiting;
-    std::deque<std::vector<table::Write>> late;
+    std::deque<std::vector<table::Write>> delayedWrites;
 
 private:
     table::MemoryRows &rows_;
     table::TableCounters counters_;
 };
 
-/// Gives one path of choices after another, until all were given.
-class Choices
+/// Enumerates all sequences of choices, depth first. A test is run once per sequence; each choose() of a run returns the
+/// next choice of the current sequence.
+class ChoiceSequence
 {
 public:
-    std::size_t pick(std::size_t count)
+    std::size_t choose(std::size_t count)
     {
-        if (next_ == path_.size()) {
-            path_.push_back({0, count});
+        if (next_ == choices_.size()) {
+            choices_.push_back({0, count});
         }
-        return path_[next_++].taken;
+        return choices_[next_++].chosen;
     }
 
-    bool nextPath()
+    bool nextSequence()
     {
         next_ = 0;
-        while (!path_.empty() && path_.back().taken + 1 == path_.back().count) {
-            path_.pop_back();
+        while (!choices_.empty() && choices_.back().chosen + 1 == choices_.back().count) {
+            choices_.pop_back();
         }
-        if (path_.empty()) {
+        if (choices_.empty()) {
             return false;
         }
-        path_.back().taken++;
+        choices_.back().chosen++;
         return true;
     }
 
 private:
     struct Choice {
-        std::size_t taken;
+        std::size_t chosen;
         std::size_t count;
     };
-    std::vector<Choice> path_;
+    std::vector<Choice> choices_;
     std::size_t next_ = 0;
 };
 
-/// An operator's tool: sends an edit, and again with the same id while the outcome is unknown.
-struct Operator {
+/// An operator's tool: sends an edit and, if the outcome is unknown, repeats it once with the same id.
+struct EditingOperator {
     Edit edit;
-    std::shared_ptr<WalkTable> table;
+    std::shared_ptr<ScheduledTable> table;
     std::shared_ptr<ContractStore> store;
     std::optional<EditResult> result;
-    int repeats = 1;
+    int repeatsLeft = 1;
 
     void send()
     {
@@ -141,7 +142,7 @@
             return Findings();
         };
         store->apply(edit, noFindings, [this](EditResult end) {
-            if (end.outcome == EditOutcome::Unknown && repeats-- > 0) {
+            if (end.outcome == EditOutcome::Unknown && repeatsLeft-- > 0) {
                 send();
                 return;
             }
@@ -150,123 +151,124 @@
     }
 };
 
-/// What walks are made.
-struct WalkBounds {
-    int faults = 0;
-    bool readsFail = false;
-    int switches = 100; ///< From one operator to the other.
+/// Limits the interleavings that are run.
+struct InterleavingLimits {
+    int maxFaults = 0;
+    bool readsFail = false; ///< Whether reads may fail, too.
+    int maxSwitches = 100; ///< From one operator to the other.
 };
 
-class Walk
+/// One order of the table calls of two operators, with the outcome of each call.
+class Interleaving
 {
 public:
-    Walk(const std::string &firstCustomer, const std::string &secondCustomer, const WalkBounds &bounds)
-        : bounds_(bounds)
+    Interleaving(const std::string &firstCustomer, const std::string &secondCustomer, const InterleavingLimits &limits)
+        : limits_(limits)
     {
         loop_ = std::move(EventLoop::create(clock_).value());
         for (const auto &[customer, author] : {std::pair(firstCustomer, "ann"), std::pair(secondCustomer, "ben")}) {
-            auto actor = std::make_unique<Operator>();
-            actor->edit = {customer, std::string("text of ") + author, 0, author, std::string("edit of ") + author};
-            actor->table = std::make_shared<WalkTable>(rows);
-            actor->store = ContractStore::create(*loop_, actor->table);
-            operators.push_back(std::move(actor));
+            auto editor = std::make_unique<EditingOperator>();
+            editor->edit = {customer, std::string("text of ") + author, 0, author, std::string("edit of ") + author};
+            editor->table = std::make_shared<ScheduledTable>(rows);
+            editor->store = ContractStore::create(*loop_, editor->table);
+            operators.push_back(std::move(editor));
         }
     }
 
-    void run(Choices &choices)
+    void run(ChoiceSequence &choices)
     {
-        for (const auto &actor : operators) {
-            actor->send();
+        for (const auto &editor : operators) {
+            editor->send();
         }
         while (step(choices)) {
         }
     }
 
     table::MemoryRows rows;
-    std::vector<std::unique_ptr<Operator>> operators;
-    int faultsMade = 0;
+    std::vector<std::unique_ptr<EditingOperator>> operators;
+    int faultCount = 0;
 
 private:
-    bool step(Choices &choices)
+    bool step(ChoiceSequence &choices)
     {
-        std::vector<std::function<void()>> next;
-        const bool mayNotSwitch = running_ && switches_ >= bounds_.switches && !running_->table->waiting.empty();
-        for (const auto &actor : operators) {
-            WalkTable *table = actor->table.get();
-            if (!table->waiting.empty() && (!mayNotSwitch || actor.get() == running_)) {
-                next.push_back([this, actor = actor.get(), &choices] {
-                    switches_ += actor == running_ ? 0 : 1;
-                    running_ = actor;
-                    serve(*actor->table, choices);
+        std::vector<std::function<void()>> options;
+        const bool mustNotSwitch = running_ && switches_ >= limits_.maxSwitches && !running_->table->waiting.empty();
+        for (const auto &editor : operators) {
+            ScheduledTable *table = editor->table.get();
+            if (!table->waiting.empty() && (!mustNotSwitch || editor.get() == running_)) {
+                options.push_back([this, editor = editor.get(), &choices] {
+                    switches_ += editor == running_ ? 0 : 1;
+                    running_ = editor;
+                    executeNext(*editor->table, choices);
                 });
             }
-            if (!table->late.empty()) {
-                next.push_back([table] { table->land(); });
+            if (!table->delayedWrites.empty()) {
+                options.push_back([table] { table->applyDelayedWrite(); });
             }
         }
-        if (next.empty()) {
+        if (options.empty()) {
             clock_.advance(std::chrono::seconds(1));
             loop_->runDue();
-            return std::any_of(operators.begin(), operators.end(), [](const auto &actor) { return !actor->table->waiting.empty(); });
+            return std::any_of(operators.begin(), operators.end(), [](const auto &editor) { return !editor->table->waiting.empty(); });
         }
-        next[choices.pick(next.size())]();
+        options[choices.choose(options.size())]();
         clock_.advance(std::chrono::seconds(1));
         loop_->runDue();
         return true;
     }
 
-    void serve(WalkTable &table, Choices &choices)
+    void executeNext(ScheduledTable &table, ChoiceSequence &choices)
     {
         const Operation operation = std::move(table.waiting.front());
         table.waiting.pop_front();
-        Fate fate = Fate::Done;
-        if (faultsMade < bounds_.faults && (operation.isWrite || bounds_.readsFail)) {
-            fate = static_cast<Fate>(choices.pick(operation.isWrite ? 5 : 2));
+        CallOutcome outcome = CallOutcome::Completed;
+        if (faultCount < limits_.maxFaults && (operation.isWrite || limits_.readsFail)) {
+            outcome = static_cast<CallOutcome>(choices.choose(operation.isWrite ? 5 : 2));
         }
-        faultsMade += fate == Fate::Done ? 0 : 1;
-        operation.run(fate);
+        faultCount += outcome == CallOutcome::Completed ? 0 : 1;
+        operation.run(outcome);
     }
 
     ManualClock clock_;
     std::unique_ptr<EventLoop> loop_;
-    WalkBounds bounds_;
-    const Operator *running_ = nullptr;
+    InterleavingLimits limits_;
+    const EditingOperator *running_ = nullptr;
     int switches_ = 0;
 };
 
-std::vector<table::Item> historyOf(const Walk &walk, const std::string &customer)
+std::vector<table::Item> readHistory(const Interleaving &interleaving, const std::string &customer)
 {
-    return walk.rows.query("contract-history#" + customer, {}, 100);
+    return interleaving.rows.query("contract-history#" + customer, {}, 100);
 }
 
-std::size_t countOf(const std::vector<table::Item> &versions, const std::string &editId)
+std::size_t countVersions(const std::vector<table::Item> &versions, const std::string &editId)
 {
     return static_cast<std::size_t>(
         std::count_if(versions.begin(), versions.end(), [&](const table::Item &item) { return table::attribute(item, "editId") == editId; }));
 }
 
-/// What holds at the end of every walk, whatever was lost.
-void checkWalk(const Walk &walk)
+/// The invariants at the end of every interleaving, whatever calls were lost.
+void checkInvariants(const Interleaving &interleaving)
 {
-    const auto log = walk.rows.query("contracts-log", {}, 100);
+    const auto log = interleaving.rows.query("contracts-log", {}, 100);
     for (std::size_t i = 0; i < log.size(); i++) {
         EXPECT_EQ(table::attribute(log[i], "revision"), std::to_string(i + 1));
     }
-    const auto head = walk.rows.get({"contracts-head", "head"});
+    const auto head = interleaving.rows.get({"contracts-head", "head"});
     EXPECT_EQ(head ? table::attribute(*head, "revision") : "0", std::to_string(log.size()));
-    for (const auto &actor : walk.operators) {
-        const auto versions = historyOf(walk, actor->edit.customer);
-        const std::size_t count = countOf(versions, actor->edit.editId);
-        ASSERT_TRUE(actor->result);
-        switch (actor->result->outcome) {
+    for (const auto &editor : interleaving.operators) {
+        const auto versions = readHistory(interleaving, editor->edit.customer);
+        const std::size_t count = countVersions(versions, editor->edit.editId);
+        ASSERT_TRUE(editor->result);
+        switch (editor->result->outcome) {
         case EditOutcome::Accepted:
             EXPECT_EQ(count, 1U);
-            EXPECT_EQ(actor->result->current.editId, actor->edit.editId);
+            EXPECT_EQ(editor->result->current.editId, editor->edit.editId);
             break;
         case EditOutcome::Conflict:
             EXPECT_EQ(count, 0U);
-            EXPECT_NE(actor->result->current.editId, actor->edit.editId);
-            EXPECT_EQ(countOf(versions, actor->result->current.editId), 1U);
+            EXPECT_NE(editor->result->current.editId, editor->edit.editId);
+            EXPECT_EQ(countVersions(versions, editor->result->current.editId), 1U);
             break;
         case EditOutcome::Unknown:
             EXPECT_LE(count, 1U);
@@ -277,67 +279,69 @@
     }
 }
 
-int countOutcome(const Walk &walk, EditOutcome outcome)
+int countOutcome(const Interleaving &interleaving, EditOutcome outcome)
 {
-    return static_cast<int>(
-        std::count_if(walk.operators.begin(), walk.operators.end(), [&](const auto &actor) { return actor->result && actor->result->outcome == outcome; }));
+    return static_cast<int>(std::count_if(interleaving.operators.begin(), interleaving.operators.end(), [&](const auto &editor) {
+        return editor->result && editor->result->outcome == outcome;
+    }));
 }
 
-/// Runs every walk within @p bounds; says how many there were.
-std::size_t walkAll(const std::string &first, const std::string &second, const WalkBounds &bounds, const std::function<void(const Walk &walk)> &check)
+/// Runs every interleaving of two edits within @p limits; returns their number.
+std::size_t runAllInterleavings(
+    const std::string &first, const std::string &second, const InterleavingLimits &limits, const std::function<void(const Interleaving &interleaving)> &check)
 {
-    Choices choices;
-    std::size_t walks = 0;
+    ChoiceSequence choices;
+    std::size_t count = 0;
     do {
-        Walk walk(first, second, bounds);
-        walk.run(choices);
-        checkWalk(walk);
-        check(walk);
-        walks++;
-    } while (choices.nextPath() && !testing::Test::HasFailure());
-    std::cout << "Walks: " << walks << "\n";
-    return walks;
+        Interleaving interleaving(first, second, limits);
+        interleaving.run(choices);
+        checkInvariants(interleaving);
+        check(interleaving);
+        count++;
+    } while (choices.nextSequence() && !testing::Test::HasFailure());
+    std::cout << "Interleavings: " << count << "\n";
+    return count;
 }
 
 } // namespace
 
-TEST(ContractStoreWalk, TwoOperatorsEditOneContract)
+TEST(ContractStoreInterleavings, TwoOperatorsEditOneContract)
 {
-    const auto checkOneWinner = [](const Walk &walk) {
-        EXPECT_LE(historyOf(walk, "shop").size(), 1U);
-        if (walk.faultsMade == 0) {
-            EXPECT_EQ(countOutcome(walk, EditOutcome::Accepted), 1);
-            EXPECT_EQ(countOutcome(walk, EditOutcome::Conflict), 1);
+    const auto checkOneAccepted = [](const Interleaving &interleaving) {
+        EXPECT_LE(readHistory(interleaving, "shop").size(), 1U);
+        if (interleaving.faultCount == 0) {
+            EXPECT_EQ(countOutcome(interleaving, EditOutcome::Accepted), 1);
+            EXPECT_EQ(countOutcome(interleaving, EditOutcome::Conflict), 1);
         }
     };
-    EXPECT_GT(walkAll("shop", "shop", {1, true}, checkOneWinner), 10000U);
-    EXPECT_GT(walkAll("shop", "shop", {2, false, 3}, checkOneWinner), 10000U);
-    EXPECT_GT(walkAll("shop", "shop", {2, true, 2}, checkOneWinner), 1000U);
+    EXPECT_GT(runAllInterleavings("shop", "shop", {1, true}, checkOneAccepted), 10000U);
+    EXPECT_GT(runAllInterleavings("shop", "shop", {2, false, 3}, checkOneAccepted), 10000U);
+    EXPECT_GT(runAllInterleavings("shop", "shop", {2, true, 2}, checkOneAccepted), 1000U);
 }
 
-TEST(ContractStoreWalk, TwoOperatorsEditDifferentContracts)
+TEST(ContractStoreInterleavings, TwoOperatorsEditDifferentContracts)
 {
-    const auto checkBothWin = [](const Walk &walk) {
-        if (walk.faultsMade == 0) {
-            EXPECT_EQ(countOutcome(walk, EditOutcome::Accepted), 2);
+    const auto checkBothAccepted = [](const Interleaving &interleaving) {
+        if (interleaving.faultCount == 0) {
+            EXPECT_EQ(countOutcome(interleaving, EditOutcome::Accepted), 2);
         }
     };
-    EXPECT_GT(walkAll("shop", "desk", {1, true}, checkBothWin), 10000U);
+    EXPECT_GT(runAllInterleavings("shop", "desk", {1, true}, checkBothAccepted), 10000U);
 }
 
-TEST(ContractStore, AnEditIsJudgedAgainstTheVersionInTheTable)
+TEST(ContractStore, ValidatesAnEditAgainstTheVersionInTheTable)
 {
     ManualClock clock;
     const auto loop = std::move(EventLoop::create(clock).value());
     const auto store = ContractStore::create(*loop, table::MemoryTable::create(*loop, std::make_shared<table::MemoryRows>()));
     std::vector<std::string> replaced;
     EditOutcome outcome = EditOutcome::Unknown;
-    const auto judge = [&](const ContractVersion *version) {
+    const auto validator = [&](const ContractVersion *version) {
         replaced.push_back(version ? version->text : "");
         return replaced.size() < 3 ? Findings() : Findings{{"file", 1, 1, "a slip", "look", Severity::Danger}};
     };
     for (std::uint64_t base = 0; base < 3; base++) {
-        store->apply({"shop", "text " + std::to_string(base + 1), base, "ann", "edit-" + std::to_string(base)}, judge, [&](const EditResult &result) {
+        store->apply({"shop", "text " + std::to_string(base + 1), base, "ann", "edit-" + std::to_string(base)}, validator, [&](const EditResult &result) {
             outcome = result.outcome;
         });
         for (int i = 0; i < 10; i++) {
--- a/src/contract/tests/editcheck_test.cpp
+++ b/src/contract/tests/editcheck_test.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-std::string textOf(const std::string &customer)
+std::string contractText(const std::string &customer)
 {
     return "{\"customer\": \"" + customer + R"(", "classes": [],
         "keys": [{"name": "desk", "sha256": "77cfb708cdcd1d984dbd52883ce90662fd3f0395f7b13ea489aaae44aa22ed23"}],
@@ -17,23 +17,23 @@
 
 } // namespace
 
-TEST(EditCheck, AKeyOfAnotherCustomerIsAFinding)
+TEST(EditCheck, RejectsAnApiKeyOfAnotherCustomer)
 {
     const auto set = ContractSet::create();
-    set->applyIfNewer({"shop", 1, 1, textOf("shop"), "ann", "edit"});
+    set->applyIfNewer({"shop", 1, 1, contractText("shop"), "ann", "edit"});
     const auto others = set->all();
-    EXPECT_TRUE(checkEdit({"shop.json", "shop", textOf("shop")}, nullptr, others).empty()) << "its own key";
-    const Findings findings = checkEdit({"desk.json", "desk", textOf("desk")}, nullptr, others);
+    EXPECT_TRUE(checkEdit({"shop.json", "shop", contractText("shop")}, nullptr, others).empty()) << "the customer's own key";
+    const Findings findings = checkEdit({"desk.json", "desk", contractText("desk")}, nullptr, others);
     ASSERT_EQ(findings.size(), 1U) << formatFindings(findings);
     EXPECT_EQ(findings[0].line, 2);
     EXPECT_GT(findings[0].column, 0);
-    EXPECT_TRUE(hasErrors(findings)) << "not to be confirmed away";
+    EXPECT_TRUE(hasErrors(findings)) << "an error, which can't be confirmed";
 }
 
-TEST(EditCheck, DangerIsMeasuredAgainstTheReplacedVersionUnlessConfirmed)
+TEST(EditCheck, ReportsDangersAgainstTheReplacedVersionUnlessConfirmed)
 {
-    const ContractVersion replaced{"shop", 1, 1, textOf("shop"), "ann", "edit"};
-    std::string text = textOf("shop");
+    const ContractVersion replaced{"shop", 1, 1, contractText("shop"), "ann", "edit"};
+    std::string text = contractText("shop");
     text.replace(text.find("\"perDayCents\": 1"), 16, "\"perDayCents\": 0");
     EXPECT_EQ(checkEdit({"f", "shop", text, false}, &replaced, {}).size(), 1U);
     EXPECT_TRUE(checkEdit({"f", "shop", text, true}, &replaced, {}).empty());
