--- a/src/forwarding/forwarder.h
+++ b/src/forwarding/forwarder.h
@@ -11,7 +11,7 @@
 #include "forwarding/servicedemand.h"
 #include "forwarding/versiongate.h"
 #include "forwarding/wireformat.h"
-#include "http1/callerserver.h"
+#include "http1/httpserver.h"
 #include "kernel/eventloop.h"
 #include "manifest/manifestcache.h"
 #include "metrics/metrics.h"
--- a/src/forwarding/internal/forwardedrequest.cpp
+++ b/src/forwarding/internal/forwardedrequest.cpp
@@ -46,7 +46,7 @@
 
 void ForwardedRequest::start()
 {
-    exchange_->onGone([weak = weak_from_this()] {
+    exchange_->onDisconnected([weak = weak_from_this()] {
         if (const auto self = weak.lock()) {
             self->onCallerGone();
         }
--- a/src/forwarding/internal/forwardedrequest.h
+++ b/src/forwarding/internal/forwardedrequest.h
@@ -2,7 +2,7 @@
 
 #include "forwarding/eventsplitter.h"
 #include "forwarding/forwarder.h"
-#include "http1/callclient.h"
+#include "http1/httpclient.h"
 #include "prefixindex/prefixrules.h"
 
 #include <optional>
@@ -148,7 +148,7 @@
     struct Move {
         directory::ServerPtr from;
         directory::ServerPtr to;
-        std::shared_ptr<http1::CallClient> client;
+        std::shared_ptr<http1::HttpClient> client;
         std::string kvSource; ///< "address:port/handle" at the source of the copy; empty until the source has answered.
         bool hasMoveAnswer = false; ///< The source has answered the call, with a handle or without.
         bool hasSourceStopped = false; ///< The source has stopped the run and ended its stream.
--- a/src/forwarding/internal/forwardedrequestend.cpp
+++ b/src/forwarding/internal/forwardedrequestend.cpp
@@ -106,7 +106,7 @@
         endAttempt(false);
     }
     if (hasStreamStarted()) {
-        exchange_->breakOff();
+        exchange_->abort();
         finish();
         return;
     }
--- a/src/forwarding/internal/forwardedrequestmove.cpp
+++ b/src/forwarding/internal/forwardedrequestmove.cpp
@@ -56,7 +56,7 @@
     }
     countSend(to->server.instance);
     move_ = Move{attempt_->server, to, nullptr, {}, false, false};
-    move_->client = http1::CallClient::create(*tools_.loop, attempt_->server->server.endpoint, {}, MoveAnswerLimits);
+    move_->client = http1::HttpClient::create(*tools_.loop, attempt_->server->server.endpoint, {}, MoveAnswerLimits);
     std::string body;
     http1::RequestHead head = tools_.wire.writeKvMove({request_.id, to->server.endpoint}, body);
     tools_.log->write(Event::StreamMoved,
--- a/src/forwarding/internal/routegateway.cpp
+++ b/src/forwarding/internal/routegateway.cpp
@@ -74,7 +74,7 @@
         tools_.log->write(Event::RequestUnreadable, {{Attribute::Status, std::int64_t(status)}});
     };
     const http1::ServerLimits limits;
-    BOOST_OUTCOME_TRY(callers, http1::CallerServer::listen(*tools_.loop, tools_.settings.callers, limits, handlers));
+    BOOST_OUTCOME_TRY(callers, http1::HttpServer::listen(*tools_.loop, tools_.settings.callers, limits, handlers));
     callers_ = callers;
     applyLimits();
     tools_.manifests->onChange([this](const manifest::ManifestPtr &) { applyLimits(); });
@@ -83,7 +83,7 @@
     handlers.onRequest = [this](const http1::ExchangePtr &exchange) {
         answerReadiness(exchange);
     };
-    BOOST_OUTCOME_TRY(readiness, http1::CallerServer::listen(*tools_.loop, tools_.settings.readiness, limits, handlers));
+    BOOST_OUTCOME_TRY(readiness, http1::HttpServer::listen(*tools_.loop, tools_.settings.readiness, limits, handlers));
     readiness_ = readiness;
     if (tools_.settings.metrics.port == 0) {
         return success();
@@ -91,7 +91,7 @@
     handlers.onRequest = [this](const http1::ExchangePtr &exchange) {
         answerMetrics(exchange);
     };
-    BOOST_OUTCOME_TRY(metricsServer, http1::CallerServer::listen(*tools_.loop, tools_.settings.metrics, limits, handlers));
+    BOOST_OUTCOME_TRY(metricsServer, http1::HttpServer::listen(*tools_.loop, tools_.settings.metrics, limits, handlers));
     metrics_ = metricsServer;
     return success();
 }
@@ -99,9 +99,9 @@
 void RouteGateway::applyLimits()
 {
     http1::ServerLimits limits;
-    limits.connections =
+    limits.maxConnections =
         tools_.settings.maxFileDescriptors > ReservedDescriptors * 2 ? tools_.settings.maxFileDescriptors - ReservedDescriptors : ReservedDescriptors;
-    limits.bodyBytesHeld = tools_.settings.memoryMegabytes * (1u << 20) / BodyMemoryDivisor;
+    limits.maxBufferedBodyBytes = tools_.settings.memoryMegabytes * (1u << 20) / BodyMemoryDivisor;
     if (const auto current = tools_.manifests->current()) {
         const manifest::CallerLimits &declared = current->manifest().limits;
         limits.read = {declared.headerBytes, declared.bodyBytes};
@@ -148,7 +148,7 @@
     draining_ = true;
     onDrained_ = std::move(done);
     drainStartedAt_ = tools_.loop->now();
-    callers_->beginClosing();
+    callers_->disableKeepAlive();
     tools_.forwarder->beginDrain(drainStartedAt_ + tools_.settings.shutdownGrace - GraceMargin);
     tools_.log->write(Event::Stopping, {{Attribute::Open, static_cast<std::int64_t>(callers_->openExchanges())}});
     drainTimer_ = tools_.loop->every(DrainCheckPeriod, [this] { checkDrained(); });
--- a/src/forwarding/internal/serverpool.cpp
+++ b/src/forwarding/internal/serverpool.cpp
@@ -34,7 +34,7 @@
         auto channel = std::move(entry.idle.back());
         entry.idle.pop_back();
         if (channel->isReusable()) {
-            channel->onIdleEnd(nullptr);
+            channel->onIdleClosed(nullptr);
             return channel;
         }
         entry.openChannels--;
@@ -55,7 +55,7 @@
         return;
     }
     http1::BackendChannel *raw = channel.get();
-    channel->onIdleEnd([this, instance, raw] {
+    channel->onIdleClosed([this, instance, raw] {
         ServerEntry &entry = entries_[instance];
         const auto position = std::find_if(entry.idle.begin(), entry.idle.end(), [raw](const auto &idle) { return idle.get() == raw; });
         if (position == entry.idle.end()) {
--- a/src/forwarding/routegateway.h
+++ b/src/forwarding/routegateway.h
@@ -2,7 +2,7 @@
 
 #include "eventlog/eventlog.h"
 #include "forwarding/forwarder.h"
-#include "http1/callerserver.h"
+#include "http1/httpserver.h"
 #include "manifest/manifestcache.h"
 #include "metrics/metrics.h"
 #include "settings/settingstypes.h"
@@ -49,9 +49,9 @@
     void applyLimits();
     void checkDrained();
     RouteGatewayTools tools_;
-    std::shared_ptr<http1::CallerServer> callers_;
-    std::shared_ptr<http1::CallerServer> readiness_;
-    std::shared_ptr<http1::CallerServer> metrics_;
+    std::shared_ptr<http1::HttpServer> callers_;
+    std::shared_ptr<http1::HttpServer> readiness_;
+    std::shared_ptr<http1::HttpServer> metrics_;
     bool draining_ = false;
     TimePoint drainStartedAt_;
     std::function<void()> onDrained_;
--- a/src/forwarding/tests/forwarder_test.cpp
+++ b/src/forwarding/tests/forwarder_test.cpp
@@ -42,7 +42,7 @@
 TEST_F(ForwarderTest, ANonIdempotentRequestIsNotRetriedAfterItMayHaveRun)
 {
     const auto client = call(request("/once/1"));
-    nextRequest()->breakOff();
+    nextRequest()->abort();
     ASSERT_TRUE(runUntil([&] { return hasStatus(*client, "502"); }));
     EXPECT_EQ(arrivals(), 1);
 }
@@ -50,8 +50,8 @@
 TEST_F(ForwarderTest, AnIdempotentRequestIsRetriedUpToItsMaxAttempts)
 {
     const auto client = call(request("/safe/1"));
-    nextRequest()->breakOff();
-    nextRequest()->breakOff();
+    nextRequest()->abort();
+    nextRequest()->abort();
     ASSERT_TRUE(runUntil([&] { return hasStatus(*client, "502"); }));
     EXPECT_EQ(arrivals(), 2);
     EXPECT_EQ(backends_["one"].arrivals, 1) << "the retry goes to the other server";
@@ -82,7 +82,7 @@
     forwarded->begin(signedHead());
     forwarded->send("id: 1\ndata: a\n\nid: 2\nda");
     ASSERT_TRUE(runUntil([&] { return client->received().find("data: a") != std::string::npos; }));
-    forwarded->breakOff();
+    forwarded->abort();
     ASSERT_TRUE(runUntil([&] { return client->hasEnded(); }));
     EXPECT_EQ(client->received().find("id: 2"), std::string::npos);
     EXPECT_EQ(client->received().find("0\r\n\r\n"), std::string::npos);
@@ -96,7 +96,7 @@
     first->begin(signedHead());
     first->send("id: 1\ndata: a\n\nid: 2\nda");
     ASSERT_TRUE(runUntil([&] { return client->received().find("data: a") != std::string::npos; }));
-    first->breakOff();
+    first->abort();
     const auto second = nextRequest();
     EXPECT_EQ(second->head().fields.get("Last-Event-Id"), "1");
     http1::ResponseHead other = signedHead();
@@ -127,7 +127,7 @@
     EXPECT_NE(moveCall->body().find(std::to_string(backends_[target].server->port())), std::string::npos);
     // The source stops the run: it sends the remaining events first and then answers the call.
     first->send("id: 2\ndata: b\n\n");
-    first->breakOff();
+    first->abort();
     http1::ResponseHead done;
     done.status = 200;
     moveCall->answer(std::move(done), R"({"handle":"h7","created":2})");
@@ -154,7 +154,7 @@
     ASSERT_TRUE(runUntil([&] { return client->received().find("data: a") != std::string::npos; }));
     reclaim(std::string(first->head().fields.get("X-Expect-Instance")));
     const auto moveCall = nextRequest();
-    first->breakOff();
+    first->abort();
     http1::ResponseHead done;
     done.status = 200;
     moveCall->answer(std::move(done), R"({"handle":"h7","created":1})");
@@ -170,7 +170,7 @@
     const auto first = nextRequest();
     reclaim(std::string(first->head().fields.get("X-Expect-Instance")));
     const auto moveCall = nextRequest();
-    first->breakOff();
+    first->abort();
     http1::ResponseHead done;
     done.status = 200;
     moveCall->answer(std::move(done), R"({"handle":"h7","created":0})");
@@ -229,7 +229,7 @@
     ASSERT_TRUE(runUntil([&] { return client->received().find("data: a") != std::string::npos; }));
     reclaim(std::string(first->head().fields.get("X-Expect-Instance")));
     const auto moveCall = nextRequest();
-    first->breakOff();
+    first->abort();
     http1::ResponseHead full;
     full.status = 503;
     moveCall->answer(std::move(full), "{}");
@@ -258,7 +258,7 @@
     const auto client = call(request("/stream/1"));
     const auto forwarded = nextRequest();
     bool cancelled = false;
-    forwarded->onGone([&] { cancelled = true; });
+    forwarded->onDisconnected([&] { cancelled = true; });
     client->close();
     ASSERT_TRUE(runUntil([&] { return cancelled; }));
     EXPECT_EQ(forwarder_->openRequests(), 0U);
--- a/src/forwarding/tests/forwardersilence_test.cpp
+++ b/src/forwarding/tests/forwardersilence_test.cpp
@@ -10,7 +10,7 @@
     const auto client = call(request("/safe/1"));
     const auto first = nextRequest();
     bool cancelled = false;
-    first->onGone([&] { cancelled = true; });
+    first->onDisconnected([&] { cancelled = true; });
     clock_.advance(Silence);
     const auto second = nextRequest();
     EXPECT_NE(second->head().fields.get("X-Expect-Instance"), first->head().fields.get("X-Expect-Instance"));
--- a/src/forwarding/tests/forwardertest.h
+++ b/src/forwarding/tests/forwardertest.h
@@ -21,7 +21,7 @@
 
 /// A backend server whose requests are queued until the test answers them.
 struct FakeBackend {
-    std::shared_ptr<http1::CallerServer> server;
+    std::shared_ptr<http1::HttpServer> server;
     std::deque<http1::ExchangePtr> requests;
     int arrivals = 0;
 };
@@ -84,7 +84,7 @@
         };
         handlers.onRejected = [](int) {
         };
-        gateway_ = http1::CallerServer::listen(*loop_, {"127.0.0.1", 0}, {}, std::move(handlers)).value();
+        gateway_ = http1::HttpServer::listen(*loop_, {"127.0.0.1", 0}, {}, std::move(handlers)).value();
         addBackend("one");
         addBackend("two");
         installManifest(1);
@@ -101,7 +101,7 @@
             EXPECT_TRUE(runUntil([&] {
                 for (auto &[instance, backend] : backends_) {
                     if (!backend.requests.empty()) {
-                        backend.requests.front()->breakOff();
+                        backend.requests.front()->abort();
                         backend.requests.pop_front();
                     }
                 }
@@ -127,7 +127,7 @@
         };
         handlers.onRejected = [](int) {
         };
-        backend.server = http1::CallerServer::listen(*loop_, {"127.0.0.1", 0}, {}, std::move(handlers)).value();
+        backend.server = http1::HttpServer::listen(*loop_, {"127.0.0.1", 0}, {}, std::move(handlers)).value();
         directory::BackendServer server;
         server.name = instance;
         server.instance = instance;
@@ -271,7 +271,7 @@
     ForwarderTools tools_;
     std::optional<std::size_t> vmCount_ = 1;
     std::shared_ptr<Forwarder> forwarder_;
-    std::shared_ptr<http1::CallerServer> gateway_;
+    std::shared_ptr<http1::HttpServer> gateway_;
     std::map<std::string, FakeBackend> backends_;
     std::string logLines_;
 };
--- a/src/http1/backendchannel.h
+++ b/src/http1/backendchannel.h
@@ -42,7 +42,7 @@
     /// When the server will close the idle connection, less a margin; far away if it did not say.
     TimePoint reusableUntil() const;
     /// Called once if the connection ends while no call is open.
-    void onIdleEnd(std::function<void()> handler);
+    void onIdleClosed(std::function<void()> handler);
     /// Ends the connection; no handler is called any more.
     void close();
 
--- a/src/http1/http1types.h
+++ b/src/http1/http1types.h
@@ -55,7 +55,7 @@
 
 /// Fields that concern one connection only and are never passed on: those that HTTP names and those that the Connection
 /// field lists.
-bool isConnectionField(std::string_view name, std::string_view connectionValue);
+bool isHopByHopField(std::string_view name, std::string_view connectionValue);
 
 /// The first line and the fields of a request.
 struct RequestHead {
--- a/src/http1/callclient.h
+++ b/src/http1/httpclient.h
@@ -14,14 +14,14 @@
     bool isAnswered = false;
     bool mayHaveArrived = false; ///< Without an answer: a byte of the call may have reached the server.
     Response response;
-    TimePoint askedAt;
+    TimePoint sentAt;
 };
 
 /// Makes whole calls to one server over a few kept connections.
-class CallClient : public std::enable_shared_from_this<CallClient>
+class HttpClient : public std::enable_shared_from_this<HttpClient>
 {
 public:
-    static std::shared_ptr<CallClient> create(EventLoop &loop, Endpoint server, const SocketOptions &options, const ReadLimits &limits);
+    static std::shared_ptr<HttpClient> create(EventLoop &loop, Endpoint server, const SocketOptions &options, const ReadLimits &limits);
 
     /// Sends @p head with @p body. The handler is called once, never from inside the call. A call without an answer
     /// within @p timeout ends its connection, and the idle ones too: they may all be silent.
@@ -30,7 +30,7 @@
 
 private:
     struct Call;
-    CallClient(EventLoop &loop, Endpoint server, const SocketOptions &options, const ReadLimits &limits);
+    HttpClient(EventLoop &loop, Endpoint server, const SocketOptions &options, const ReadLimits &limits);
     std::shared_ptr<BackendChannel> idleChannel();
     void finish(const std::shared_ptr<Call> &call, bool answered, bool mayHaveArrived);
     void keep(const std::shared_ptr<BackendChannel> &channel);
--- a/src/http1/callerserver.h
+++ b/src/http1/httpserver.h
@@ -15,12 +15,12 @@
     ReadLimits read;
     Duration headerTimeout = std::chrono::seconds(10); ///< From the first byte of a request to its last header byte.
     Duration idleTimeout = std::chrono::seconds(60); ///< Between requests; also the longest silence inside a body.
-    std::size_t connections = 3000; ///< Open at once; more are closed as they come.
-    std::size_t answerBytes = 1048576; ///< Unsent answer bytes of one caller; beyond it the caller is too slow and is cut off.
-    std::size_t bodyBytesHeld = 64u << 20; ///< Request bodies of all callers together.
+    std::size_t maxConnections = 3000; ///< Open at once; more are closed as they come.
+    std::size_t maxUnsentResponseBytes = 1048576; ///< Unsent answer bytes of one caller; beyond it the caller is too slow and is cut off.
+    std::size_t maxBufferedBodyBytes = 64u << 20; ///< Request bodies of all callers together.
 };
 
-/// One request of a caller, and the way to answer it. Exactly one of answer(), breakOff() or begin()..end() follows.
+/// One request of a caller, and the way to answer it. Exactly one of answer(), abort() or begin()..end() follows.
 class Exchange
 {
 public:
@@ -30,7 +30,7 @@
     /// When the first byte of the request was read.
     virtual TimePoint startedAt() const = 0;
     /// Called once if the caller closes, or is cut off, before the answer has ended.
-    virtual void onGone(std::function<void()> handler) = 0;
+    virtual void onDisconnected(std::function<void()> handler) = 0;
     /// Sends a whole answer.
     virtual void answer(ResponseHead head, std::string_view body) = 0;
     /// Sends the head of an answer whose body follows in parts.
@@ -39,7 +39,7 @@
     /// Ends the body, so that the answer is complete.
     virtual void end() = 0;
     /// Closes the connection so that the caller sees that the answer is not complete.
-    virtual void breakOff() = 0;
+    virtual void abort() = 0;
 };
 
 using ExchangePtr = std::shared_ptr<Exchange>;
@@ -52,14 +52,14 @@
 };
 
 /// Accepts callers' connections and reads their requests, one after the other on each connection.
-class CallerServer
+class HttpServer
 {
 public:
-    static Result<std::shared_ptr<CallerServer>> listen(EventLoop &loop, const Endpoint &at, const ServerLimits &limits, ServerHandlers handlers);
-    virtual ~CallerServer() = default;
+    static Result<std::shared_ptr<HttpServer>> listen(EventLoop &loop, const Endpoint &at, const ServerLimits &limits, ServerHandlers handlers);
+    virtual ~HttpServer() = default;
     virtual void setLimits(const ServerLimits &limits) = 0;
     /// From here on each answer closes its connection; connections go on being accepted.
-    virtual void beginClosing() = 0;
+    virtual void disableKeepAlive() = 0;
     /// Reads nothing more and accepts no connection: right before the process ends. What is still unread has not run, and
     /// its caller sees that.
     virtual void stopReading() = 0;
--- a/src/http1/internal/backendchannel.cpp
+++ b/src/http1/internal/backendchannel.cpp
@@ -68,7 +68,7 @@
     return reusableUntil_;
 }
 
-void BackendChannel::onIdleEnd(std::function<void()> handler)
+void BackendChannel::onIdleClosed(std::function<void()> handler)
 {
     idleEnd_ = std::move(handler);
 }
--- a/src/http1/internal/http1types.cpp
+++ b/src/http1/internal/http1types.cpp
@@ -94,7 +94,7 @@
     return number;
 }
 
-bool isConnectionField(std::string_view name, std::string_view connectionValue)
+bool isHopByHopField(std::string_view name, std::string_view connectionValue)
 {
     const auto isSame = [name](std::string_view other) {
         return equalsIgnoreCase(name, other);
--- a/src/http1/internal/callclient.cpp
+++ b/src/http1/internal/httpclient.cpp
@@ -1,15 +1,15 @@
-#include "http1/callclient.h"
+#include "http1/httpclient.h"
 
 namespace cardamomlift::http1 {
 
-struct CallClient::Call {
+struct HttpClient::Call {
     std::shared_ptr<BackendChannel> channel;
     CallResult result;
     TimerId timer = 0;
     std::function<void(CallResult)> handler;
 };
 
-CallClient::CallClient(EventLoop &loop, Endpoint server, const SocketOptions &options, const ReadLimits &limits)
+HttpClient::HttpClient(EventLoop &loop, Endpoint server, const SocketOptions &options, const ReadLimits &limits)
     : loop_(loop)
     , server_(std::move(server))
     , options_(options)
@@ -17,12 +17,12 @@
 {
 }
 
-std::shared_ptr<CallClient> CallClient::create(EventLoop &loop, Endpoint server, const SocketOptions &options, const ReadLimits &limits)
+std::shared_ptr<HttpClient> HttpClient::create(EventLoop &loop, Endpoint server, const SocketOptions &options, const ReadLimits &limits)
 {
-    return std::shared_ptr<CallClient>(new CallClient(loop, std::move(server), options, limits));
+    return std::shared_ptr<HttpClient>(new HttpClient(loop, std::move(server), options, limits));
 }
 
-std::shared_ptr<BackendChannel> CallClient::idleChannel()
+std::shared_ptr<BackendChannel> HttpClient::idleChannel()
 {
     while (!idle_.empty()) {
         auto channel = std::move(idle_.back());
@@ -34,13 +34,13 @@
     return BackendChannel::connect(loop_, server_, options_, limits_);
 }
 
-void CallClient::call(RequestHead head, std::string body, Duration timeout, std::function<void(CallResult result)> handler)
+void HttpClient::call(RequestHead head, std::string body, Duration timeout, std::function<void(CallResult result)> handler)
 {
     calls_++;
     auto call = std::make_shared<Call>();
     call->handler = std::move(handler);
     call->channel = idleChannel();
-    call->result.askedAt = loop_.now();
+    call->result.sentAt = loop_.now();
     head.fields.set("Host", formatEndpoint(server_));
     // NOTE The timer holds the call, and with it the client, until it ends; so a client may be dropped with calls open.
     call->timer = loop_.after(timeout, [self = shared_from_this(), call] {
@@ -71,7 +71,7 @@
     call->channel->call(bytes, head.method == "HEAD", std::move(handlers));
 }
 
-void CallClient::finish(const std::shared_ptr<Call> &call, bool answered, bool mayHaveArrived)
+void HttpClient::finish(const std::shared_ptr<Call> &call, bool answered, bool mayHaveArrived)
 {
     const auto self = shared_from_this();
     loop_.cancel(call->timer);
@@ -88,14 +88,14 @@
     call->handler(std::move(call->result));
 }
 
-void CallClient::keep(const std::shared_ptr<BackendChannel> &channel)
+void HttpClient::keep(const std::shared_ptr<BackendChannel> &channel)
 {
     if (channel->isReusable()) {
         idle_.push_back(channel);
     }
 }
 
-std::uint64_t CallClient::calls() const
+std::uint64_t HttpClient::calls() const
 {
     return calls_;
 }
--- a/src/http1/internal/callerserver.cpp
+++ b/src/http1/internal/httpserver.cpp
@@ -1,6 +1,6 @@
-#include "http1/callerserver.h"
+#include "http1/httpserver.h"
 
-#include "http1/internal/callerconnection.h"
+#include "http1/internal/serverconnection.h"
 
 #include <arpa/inet.h>
 #include <ev.h>
@@ -20,25 +20,25 @@
 /// Connections accepted before other sockets get their turn.
 constexpr int AcceptBatch = 64;
 
-class CallerServerImpl : public CallerServer
+class HttpServerImpl : public HttpServer
 {
 public:
-    CallerServerImpl(EventLoop &loop, const ServerLimits &limits, ServerHandlers handlers)
+    HttpServerImpl(EventLoop &loop, const ServerLimits &limits, ServerHandlers handlers)
         : loop_(loop)
         , state_(std::make_shared<ServerState>())
     {
         state_->loop = &loop;
         state_->limits = limits;
         state_->handlers = std::move(handlers);
-        state_->forget = [this](CallerConnection *connection) {
+        state_->forget = [this](ServerConnection *connection) {
             forget(connection);
         };
     }
 
-    ~CallerServerImpl() override
+    ~HttpServerImpl() override
     {
         loop_.cancel(sweepTimer_);
-        state_->forget = [](CallerConnection *) {
+        state_->forget = [](ServerConnection *) {
         };
         if (descriptor_ >= 0) {
             ev_io_stop(loop_.raw(), &watcher_);
@@ -63,7 +63,7 @@
         port_ = ntohs(address.sin_port);
         watcher_.data = this;
         ev_io_init(
-            &watcher_, [](struct ev_loop *, ev_io *watcher, int) { static_cast<CallerServerImpl *>(watcher->data)->acceptAll(); }, descriptor_, EV_READ);
+            &watcher_, [](struct ev_loop *, ev_io *watcher, int) { static_cast<HttpServerImpl *>(watcher->data)->acceptAll(); }, descriptor_, EV_READ);
         ev_io_start(loop_.raw(), &watcher_);
         sweepTimer_ = loop_.every(SweepPeriod, [this] { sweep(); });
         return success();
@@ -74,7 +74,7 @@
         state_->limits = limits;
     }
 
-    void beginClosing() override
+    void disableKeepAlive() override
     {
         state_->closing = true;
     }
@@ -110,17 +110,17 @@
             if (descriptor < 0) {
                 return;
             }
-            if (connections_.size() >= state_->limits.connections) {
+            if (connections_.size() >= state_->limits.maxConnections) {
                 ::close(descriptor);
                 continue;
             }
-            auto connection = CallerConnection::create(state_, descriptor);
+            auto connection = ServerConnection::create(state_, descriptor);
             connections_[connection.get()] = std::move(connection);
         }
     }
 
     // Freed by the loop: it may be running code of its own now.
-    void forget(CallerConnection *connection)
+    void forget(ServerConnection *connection)
     {
         const auto found = connections_.find(connection);
         if (found == connections_.end()) {
@@ -132,7 +132,7 @@
 
     void sweep()
     {
-        std::vector<std::shared_ptr<CallerConnection>> all;
+        std::vector<std::shared_ptr<ServerConnection>> all;
         all.reserve(connections_.size());
         for (const auto &[key, connection] : connections_) {
             all.push_back(connection);
@@ -149,16 +149,16 @@
     int descriptor_ = -1;
     std::uint16_t port_ = 0;
     TimerId sweepTimer_ = 0;
-    std::unordered_map<CallerConnection *, std::shared_ptr<CallerConnection>> connections_;
+    std::unordered_map<ServerConnection *, std::shared_ptr<ServerConnection>> connections_;
 };
 
 } // namespace
 
-Result<std::shared_ptr<CallerServer>> CallerServer::listen(EventLoop &loop, const Endpoint &at, const ServerLimits &limits, ServerHandlers handlers)
+Result<std::shared_ptr<HttpServer>> HttpServer::listen(EventLoop &loop, const Endpoint &at, const ServerLimits &limits, ServerHandlers handlers)
 {
-    auto server = std::make_shared<CallerServerImpl>(loop, limits, std::move(handlers));
+    auto server = std::make_shared<HttpServerImpl>(loop, limits, std::move(handlers));
     BOOST_OUTCOME_TRY(server->open(at));
-    return std::shared_ptr<CallerServer>(server);
+    return std::shared_ptr<HttpServer>(server);
 }
 
 } // namespace cardamomlift::http1
--- a/src/http1/internal/callerconnection.cpp
+++ b/src/http1/internal/serverconnection.cpp
@@ -1,4 +1,4 @@
-#include "http1/internal/callerconnection.h"
+#include "http1/internal/serverconnection.h"
 
 #include <utility>
 
@@ -33,16 +33,16 @@
 
 } // namespace
 
-CallerConnection::CallerConnection(std::shared_ptr<ServerState> server)
+ServerConnection::ServerConnection(std::shared_ptr<ServerState> server)
     : server_(std::move(server))
     , lastByteAt_(server_->loop->now())
 {
 }
 
-std::shared_ptr<CallerConnection> CallerConnection::create(std::shared_ptr<ServerState> server, int descriptor)
+std::shared_ptr<ServerConnection> ServerConnection::create(std::shared_ptr<ServerState> server, int descriptor)
 {
-    std::shared_ptr<CallerConnection> connection(new CallerConnection(std::move(server)));
-    CallerConnection *raw = connection.get();
+    std::shared_ptr<ServerConnection> connection(new ServerConnection(std::move(server)));
+    ServerConnection *raw = connection.get();
     SocketHandlers handlers;
     handlers.onData = [raw](std::string_view bytes) {
         raw->onData(bytes);
@@ -56,7 +56,7 @@
     return connection;
 }
 
-CallerConnection::~CallerConnection()
+ServerConnection::~ServerConnection()
 {
     dropRequest();
     if (socket_) {
@@ -64,27 +64,27 @@
     }
 }
 
-const RequestHead &CallerConnection::head() const
+const RequestHead &ServerConnection::head() const
 {
     return reader_->head();
 }
 
-const std::string &CallerConnection::body() const
+const std::string &ServerConnection::body() const
 {
     return body_;
 }
 
-TimePoint CallerConnection::startedAt() const
+TimePoint ServerConnection::startedAt() const
 {
     return startedAt_;
 }
 
-void CallerConnection::onGone(std::function<void()> handler)
+void ServerConnection::onDisconnected(std::function<void()> handler)
 {
     gone_ = std::move(handler);
 }
 
-void CallerConnection::onData(std::string_view bytes)
+void ServerConnection::onData(std::string_view bytes)
 {
     lastByteAt_ = server_->loop->now();
     if (phase_ == Phase::Lingering || phase_ == Phase::Ended) {
@@ -101,7 +101,7 @@
     readRequest(bytes);
 }
 
-void CallerConnection::startRequest()
+void ServerConnection::startRequest()
 {
     phase_ = Phase::Reading;
     startedAt_ = server_->loop->now();
@@ -112,7 +112,7 @@
     server_->openExchanges++;
 }
 
-void CallerConnection::readRequest(std::string_view bytes)
+void ServerConnection::readRequest(std::string_view bytes)
 {
     if (phase_ == Phase::Idle) {
         startRequest();
@@ -125,7 +125,7 @@
         reject(statusOf(reader_->error()));
         return;
     }
-    if (server_->bodyBytesHeld > server_->limits.bodyBytesHeld) {
+    if (server_->bodyBytesHeld > server_->limits.maxBufferedBodyBytes) {
         reject(StatusUnavailable);
         return;
     }
@@ -137,7 +137,7 @@
     onRequestRead();
 }
 
-void CallerConnection::continueIfAsked()
+void ServerConnection::continueIfAsked()
 {
     if (continueSent_ || !reader_->isHeadComplete() || !equalsIgnoreCase(reader_->head().fields.get("Expect"), "100-continue")) {
         return;
@@ -146,14 +146,14 @@
     socket_->write("HTTP/1.1 100 Continue\r\n\r\n");
 }
 
-void CallerConnection::onRequestRead()
+void ServerConnection::onRequestRead()
 {
     phase_ = Phase::Answering;
     closeAfter_ = !reader_->keepsAlive();
     server_->handlers.onRequest(shared_from_this());
 }
 
-void CallerConnection::reject(int status)
+void ServerConnection::reject(int status)
 {
     phase_ = Phase::Answering;
     closeAfter_ = true;
@@ -166,7 +166,7 @@
     answer(std::move(head), {});
 }
 
-void CallerConnection::answer(ResponseHead head, std::string_view body)
+void ServerConnection::answer(ResponseHead head, std::string_view body)
 {
     if (phase_ != Phase::Answering || headSent_) {
         return;
@@ -181,7 +181,7 @@
     finishAnswer();
 }
 
-void CallerConnection::begin(ResponseHead head)
+void ServerConnection::begin(ResponseHead head)
 {
     if (phase_ != Phase::Answering || headSent_) {
         return;
@@ -191,18 +191,18 @@
     socket_->write(encodeHead(head, Framing::Chunked, 0, closeAfter_));
 }
 
-void CallerConnection::send(std::string_view part)
+void ServerConnection::send(std::string_view part)
 {
     if (phase_ != Phase::Answering || part.empty()) {
         return;
     }
     socket_->write(encodeChunk(part));
-    if (socket_->unsentBytes() > server_->limits.answerBytes) {
+    if (socket_->unsentBytes() > server_->limits.maxUnsentResponseBytes) {
         onEnd();
     }
 }
 
-void CallerConnection::end()
+void ServerConnection::end()
 {
     if (phase_ != Phase::Answering) {
         return;
@@ -211,7 +211,7 @@
     finishAnswer();
 }
 
-void CallerConnection::breakOff()
+void ServerConnection::abort()
 {
     if (phase_ != Phase::Answering) {
         return;
@@ -220,7 +220,7 @@
     closeNow();
 }
 
-void CallerConnection::finishAnswer()
+void ServerConnection::finishAnswer()
 {
     const auto self = shared_from_this();
     dropRequest();
@@ -243,7 +243,7 @@
     });
 }
 
-void CallerConnection::startLingering()
+void ServerConnection::startLingering()
 {
     phase_ = Phase::Lingering;
     lastByteAt_ = server_->loop->now();
@@ -253,7 +253,7 @@
     socket_->setReading(true);
 }
 
-void CallerConnection::onEnd()
+void ServerConnection::onEnd()
 {
     const auto self = shared_from_this();
     const auto gone = std::exchange(gone_, nullptr);
@@ -264,7 +264,7 @@
     }
 }
 
-void CallerConnection::closeNow()
+void ServerConnection::closeNow()
 {
     const auto self = shared_from_this();
     dropRequest();
@@ -273,7 +273,7 @@
     server_->forget(this);
 }
 
-void CallerConnection::dropRequest()
+void ServerConnection::dropRequest()
 {
     if (phase_ == Phase::Reading || phase_ == Phase::Answering) {
         server_->openExchanges--;
@@ -284,12 +284,12 @@
     gone_ = nullptr;
 }
 
-void CallerConnection::stopReading()
+void ServerConnection::stopReading()
 {
     socket_->setReading(false);
 }
 
-void CallerConnection::checkTime(TimePoint now)
+void ServerConnection::checkTime(TimePoint now)
 {
     const auto self = shared_from_this();
     const Duration silent = now - lastByteAt_;
--- a/src/http1/internal/callerconnection.h
+++ b/src/http1/internal/serverconnection.h
@@ -1,11 +1,11 @@
 #pragma once
 
-#include "http1/callerserver.h"
+#include "http1/httpserver.h"
 #include "http1/socket.h"
 
 namespace cardamomlift::http1 {
 
-class CallerConnection;
+class ServerConnection;
 
 /// What all connections of one server share.
 struct ServerState {
@@ -16,25 +16,25 @@
     std::size_t openExchanges = 0;
     std::size_t bodyBytesHeld = 0;
     /// Forgets a connection that has ended.
-    std::function<void(CallerConnection *connection)> forget;
+    std::function<void(ServerConnection *connection)> forget;
 };
 
 /// One connection of a caller. It is the exchange of the request that it reads or answers.
-class CallerConnection : public Exchange, public std::enable_shared_from_this<CallerConnection>
+class ServerConnection : public Exchange, public std::enable_shared_from_this<ServerConnection>
 {
 public:
-    static std::shared_ptr<CallerConnection> create(std::shared_ptr<ServerState> server, int descriptor);
-    ~CallerConnection() override;
+    static std::shared_ptr<ServerConnection> create(std::shared_ptr<ServerState> server, int descriptor);
+    ~ServerConnection() override;
 
     const RequestHead &head() const override;
     const std::string &body() const override;
     TimePoint startedAt() const override;
-    void onGone(std::function<void()> handler) override;
+    void onDisconnected(std::function<void()> handler) override;
     void answer(ResponseHead head, std::string_view body) override;
     void begin(ResponseHead head) override;
     void send(std::string_view part) override;
     void end() override;
-    void breakOff() override;
+    void abort() override;
 
     /// Ends the connection if it has been silent, or slow, for too long.
     void checkTime(TimePoint now);
@@ -43,7 +43,7 @@
 private:
     enum class Phase { Idle, Reading, Answering, Lingering, Ended };
 
-    explicit CallerConnection(std::shared_ptr<ServerState> server);
+    explicit ServerConnection(std::shared_ptr<ServerState> server);
     void onData(std::string_view bytes);
     void onEnd();
     void readRequest(std::string_view bytes);
--- a/src/http1/tests/backendchannel_test.cpp
+++ b/src/http1/tests/backendchannel_test.cpp
@@ -135,7 +135,7 @@
     say("HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\none");
     ASSERT_TRUE(runUntil([&] { return completed_; }));
     bool ended = false;
-    channel_->onIdleEnd([&] { ended = true; });
+    channel_->onIdleClosed([&] { ended = true; });
     say("HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\ntwo");
     ASSERT_TRUE(runUntil([&] { return ended; }));
     EXPECT_FALSE(channel_->isReusable());
--- a/src/http1/tests/callerserver_test.cpp
+++ b/src/http1/tests/httpserver_test.cpp
@@ -1,4 +1,4 @@
-#include "http1/callerserver.h"
+#include "http1/httpserver.h"
 #include "http1/tests/looptest.h"
 
 namespace cardamomlift::http1 {
@@ -6,10 +6,10 @@
 namespace {
 
 /// A server whose requests are kept for the test to answer.
-class CallerServerTest : public LoopTest
+class HttpServerTest : public LoopTest
 {
 protected:
-    CallerServerTest()
+    HttpServerTest()
     {
         ServerHandlers handlers;
         handlers.onRequest = [this](ExchangePtr exchange) {
@@ -18,7 +18,7 @@
         handlers.onRejected = [this](int status) {
             rejected_.push_back(status);
         };
-        server_ = CallerServer::listen(*loop_, {"127.0.0.1", 0}, limits_, std::move(handlers)).value();
+        server_ = HttpServer::listen(*loop_, {"127.0.0.1", 0}, limits_, std::move(handlers)).value();
     }
 
     bool hasRequests(std::size_t count)
@@ -34,12 +34,12 @@
     }
 
     ServerLimits limits_;
-    std::shared_ptr<CallerServer> server_;
+    std::shared_ptr<HttpServer> server_;
     std::vector<ExchangePtr> exchanges_;
     std::vector<int> rejected_;
 };
 
-TEST_F(CallerServerTest, AnswersRequestsOfOneConnectionInTheirOrder)
+TEST_F(HttpServerTest, AnswersRequestsOfOneConnectionInTheirOrder)
 {
     RawClient client(server_->port());
     client.send("GET /1 HTTP/1.1\r\nHost: a\r\n\r\nGET /2 HTTP/1.1\r\nHost: a\r\n\r\n");
@@ -55,7 +55,7 @@
     EXPECT_NE(client.received().find("one"), std::string::npos);
 }
 
-TEST_F(CallerServerTest, ABodyThatLooksLikeARequestIsABody)
+TEST_F(HttpServerTest, ABodyThatLooksLikeARequestIsABody)
 {
     const std::string hidden = "GET /hidden HTTP/1.1\r\nHost: a\r\n\r\n";
     RawClient client(server_->port());
@@ -67,7 +67,7 @@
     EXPECT_EQ(exchanges_.size(), 1U);
 }
 
-TEST_F(CallerServerTest, WhatCanBeReadInTwoWaysClosesTheConnection)
+TEST_F(HttpServerTest, WhatCanBeReadInTwoWaysClosesTheConnection)
 {
     RawClient client(server_->port());
     client.send("POST /1 HTTP/1.1\r\nHost: a\r\nContent-Length: 5\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\nGET /hidden HTTP/1.1\r\nHost: a\r\n\r\n");
@@ -77,20 +77,20 @@
     EXPECT_TRUE(client.received().starts_with("HTTP/1.1 400"));
 }
 
-TEST_F(CallerServerTest, SeesThatTheCallerLeftWhileItWaits)
+TEST_F(HttpServerTest, SeesThatTheCallerLeftWhileItWaits)
 {
     RawClient client(server_->port());
     client.send("GET /1 HTTP/1.1\r\nHost: a\r\n\r\n");
     ASSERT_TRUE(runUntil([&] { return hasRequests(1); }));
     bool gone = false;
-    exchanges_[0]->onGone([&] { gone = true; });
+    exchanges_[0]->onDisconnected([&] { gone = true; });
     client.close();
     ASSERT_TRUE(runUntil([&] { return gone; }));
     exchanges_[0]->answer(ok(), "late");
     EXPECT_EQ(server_->openExchanges(), 0U);
 }
 
-TEST_F(CallerServerTest, ABrokenOffStreamHasNoEndMark)
+TEST_F(HttpServerTest, ABrokenOffStreamHasNoEndMark)
 {
     RawClient client(server_->port());
     client.send("GET /1 HTTP/1.1\r\nHost: a\r\n\r\n");
@@ -98,17 +98,17 @@
     exchanges_[0]->begin(ok());
     exchanges_[0]->send("part");
     ASSERT_TRUE(runUntil([&] { return client.received().find("part") != std::string::npos; }));
-    exchanges_[0]->breakOff();
+    exchanges_[0]->abort();
     ASSERT_TRUE(runUntil([&] { return client.hasEnded(); }));
     EXPECT_EQ(client.received().find("0\r\n\r\n"), std::string::npos);
 }
 
-TEST_F(CallerServerTest, ClosingAnswersGoOnBeingGiven)
+TEST_F(HttpServerTest, ClosingAnswersGoOnBeingGiven)
 {
     RawClient client(server_->port());
     client.send("GET /1 HTTP/1.1\r\nHost: a\r\n\r\n");
     ASSERT_TRUE(runUntil([&] { return hasRequests(1); }));
-    server_->beginClosing();
+    server_->disableKeepAlive();
     exchanges_[0]->answer(ok(), "one");
     ASSERT_TRUE(runUntil([&] { return client.hasEnded(); }));
     EXPECT_NE(client.received().find("Connection: close"), std::string::npos);
@@ -118,7 +118,7 @@
     ASSERT_TRUE(runUntil([&] { return hasRequests(2); })) << "new connections are still taken";
 }
 
-TEST_F(CallerServerTest, NothingIsReadOnceTheServerStops)
+TEST_F(HttpServerTest, NothingIsReadOnceTheServerStops)
 {
     RawClient kept(server_->port());
     ASSERT_TRUE(runUntil([&] { return server_->openConnections() == 1; }));
@@ -134,7 +134,7 @@
     EXPECT_EQ(server_->openConnections(), 1U);
 }
 
-TEST_F(CallerServerTest, ExpectedContinueIsGiven)
+TEST_F(HttpServerTest, ExpectedContinueIsGiven)
 {
     RawClient client(server_->port());
     client.send("POST /1 HTTP/1.1\r\nHost: a\r\nExpect: 100-continue\r\nContent-Length: 2\r\n\r\n");
--- a/src/http1/tests/messagereader_test.cpp
+++ b/src/http1/tests/messagereader_test.cpp
@@ -126,10 +126,10 @@
 
 TEST(Fields, ConnectionFieldsAreThoseOfTheStandardAndThoseNamed)
 {
-    EXPECT_TRUE(isConnectionField("Keep-Alive", ""));
-    EXPECT_TRUE(isConnectionField("TRANSFER-ENCODING", ""));
-    EXPECT_TRUE(isConnectionField("X-Hop", "close, x-hop"));
-    EXPECT_FALSE(isConnectionField("X-Other", "close, x-hop"));
+    EXPECT_TRUE(isHopByHopField("Keep-Alive", ""));
+    EXPECT_TRUE(isHopByHopField("TRANSFER-ENCODING", ""));
+    EXPECT_TRUE(isHopByHopField("X-Hop", "close, x-hop"));
+    EXPECT_FALSE(isHopByHopField("X-Other", "close, x-hop"));
 }
 
 } // namespace
--- a/src/standins/rowstore/main.cpp
+++ b/src/standins/rowstore/main.cpp
@@ -2,7 +2,7 @@
 // for some. The operator and the backend servers of a test write through /control.
 
 #include "http/json.h"
-#include "http1/callerserver.h"
+#include "http1/httpserver.h"
 #include "rows/memoryrowstore.h"
 #include "standinkit/standinmain.h"
 #include "text/base64.h"
@@ -47,7 +47,7 @@
 
 struct Store {
     EventLoop *loop = nullptr;
-    std::shared_ptr<http1::CallerServer> server;
+    std::shared_ptr<http1::HttpServer> server;
     rows::MemoryRows rows;
     rows::MemoryRows copy; ///< Which "restore" goes back to.
     bool down = false;
@@ -222,7 +222,7 @@
         handlers.onRejected = [](int) {
         };
         const http1::Endpoint at{values["address"].template as<std::string>(), values["port"].template as<std::uint16_t>()};
-        BOOST_OUTCOME_TRY(server, http1::CallerServer::listen(loop, at, {}, std::move(handlers)));
+        BOOST_OUTCOME_TRY(server, http1::HttpServer::listen(loop, at, {}, std::move(handlers)));
         store.server = server;
         ready["port"] = server->port();
         return success();
--- a/src/standins/worker/main.cpp
+++ b/src/standins/worker/main.cpp
@@ -2,7 +2,7 @@
 // ran by request id and does not look for repeats: that is what is tested.
 
 #include "http/json.h"
-#include "http1/callerserver.h"
+#include "http1/httpserver.h"
 #include "standinkit/standinmain.h"
 
 #include <fmt/format.h>
@@ -57,7 +57,7 @@
 
 struct Worker {
     EventLoop *loop = nullptr;
-    std::shared_ptr<http1::CallerServer> server;
+    std::shared_ptr<http1::HttpServer> server;
     std::string instance;
     Duration eventGap{0};
     Duration delay{0};
@@ -131,7 +131,7 @@
     void breakHeld()
     {
         for (const http1::ExchangePtr &exchange : held) {
-            exchange->breakOff();
+            exchange->abort();
         }
         held.clear();
     }
@@ -161,7 +161,7 @@
             return;
         }
         if (resets) {
-            exchange->breakOff();
+            exchange->abort();
             return;
         }
         if (fails) {
@@ -181,7 +181,7 @@
     void startStream(const http1::ExchangePtr &exchange, const std::string &id)
     {
         const auto gone = std::make_shared<bool>(false);
-        exchange->onGone([this, gone] {
+        exchange->onDisconnected([this, gone] {
             *gone = true;
             cancelled++;
         });
@@ -205,7 +205,7 @@
         }
         if (breakAfter >= 0 && sent >= breakAfter) {
             exchange->send(fmt::format("id: {}\nda", number));
-            exchange->breakOff();
+            exchange->abort();
             return;
         }
         exchange->send(fmt::format("id: {}\ndata: {} {}\n\n", number, id, number));
@@ -233,7 +233,7 @@
         handlers.onRejected = [](int) {
         };
         const http1::Endpoint at{values["address"].template as<std::string>(), values["port"].template as<std::uint16_t>()};
-        BOOST_OUTCOME_TRY(server, http1::CallerServer::listen(loop, at, {}, std::move(handlers)));
+        BOOST_OUTCOME_TRY(server, http1::HttpServer::listen(loop, at, {}, std::move(handlers)));
         worker.server = server;
         ready["port"] = server->port();
         return success();
