--- a/src/claims/claimsmodule.cpp
+++ b/src/claims/claimsmodule.cpp
@@ -52,7 +52,7 @@
     const EventLoop *loop = context.get<Runtime>()->loop;
     auto deadline = std::make_shared<TimePoint>(TimePoint::max());
     lifecycle->onDrain([loop, deadline] { *deadline = loop->now() + MaxDrainWait; });
-    lifecycle->addProbe("claims", [manager, loop, deadline] { return loop->now() < *deadline ? manager->unsettledCount() : 0; });
+    lifecycle->addOpenWorkCounter("claims", [manager, loop, deadline] { return loop->now() < *deadline ? manager->unsettledCount() : 0; });
 }
 
 const ModuleRegistration<ClaimsModule> Registration;
--- a/src/claims/tests/claimmodel_test.cpp
+++ b/src/claims/tests/claimmodel_test.cpp
@@ -352,11 +352,11 @@
     {
         for (const char *other : {"entry-1", "entry-2"}) {
             if (isCut) {
-                network_->cuts.insert({"entry-0", other});
-                network_->cuts.insert({other, "entry-0"});
+                network_->blockedLinks.insert({"entry-0", other});
+                network_->blockedLinks.insert({other, "entry-0"});
             } else {
-                network_->cuts.erase({"entry-0", other});
-                network_->cuts.erase({other, "entry-0"});
+                network_->blockedLinks.erase({"entry-0", other});
+                network_->blockedLinks.erase({other, "entry-0"});
             }
         }
     }
--- a/src/contract/contractmodule.cpp
+++ b/src/contract/contractmodule.cpp
@@ -17,7 +17,7 @@
 
 void serveWhileFresh(lifecycle::Lifecycle &lifecycle, ContractSync &sync, const std::shared_ptr<ContractExchange> &exchange)
 {
-    lifecycle.setGate([exchange] { return mayTakeNewWork(exchange->freshness()); });
+    lifecycle.setReadinessCheck([exchange] { return mayTakeNewWork(exchange->freshness()); });
     sync.onReady([&lifecycle] { lifecycle.setReady(); });
 }
 
--- a/src/contract/tests/contractexchange_test.cpp
+++ b/src/contract/tests/contractexchange_test.cpp
@@ -143,8 +143,8 @@
     void cut(std::size_t index)
     {
         for (const auto &other : nodes) {
-            network->cuts.insert({nodes[index]->instance, other->instance});
-            network->cuts.insert({other->instance, nodes[index]->instance});
+            network->blockedLinks.insert({nodes[index]->instance, other->instance});
+            network->blockedLinks.insert({other->instance, nodes[index]->instance});
         }
     }
 
@@ -209,7 +209,7 @@
     vms.edit(0, 20, 1);
     vms.run(seconds(2));
     EXPECT_EQ(vms.nodes[2]->version(), 1U);
-    vms.network->cuts.clear();
+    vms.network->blockedLinks.clear();
     vms.runUntil([&] { return vms.countServing() == 3; }, seconds(4));
     EXPECT_EQ(vms.nodes[2]->version(), 2U) << "it may not serve before it has the edit";
 }
@@ -234,8 +234,8 @@
     vms.run(seconds(3));
     vms.cut(3);
     vms.cut(4);
-    vms.network->cuts.erase({"entry-4", "entry-5"});
-    vms.network->cuts.erase({"entry-5", "entry-4"});
+    vms.network->blockedLinks.erase({"entry-4", "entry-5"});
+    vms.network->blockedLinks.erase({"entry-5", "entry-4"});
     vms.setTable(true);
     vms.run(FreshnessBound + seconds(2));
     EXPECT_EQ(vms.countServing(), 3U);
@@ -254,12 +254,12 @@
     vms.run(seconds(1));
     vms.setTable(true);
     vms.replace(0, "entry-4");
-    vms.network->cuts.insert({"entry-4", "entry-3"});
-    vms.network->cuts.erase({"entry-4", "entry-2"});
+    vms.network->blockedLinks.insert({"entry-4", "entry-3"});
+    vms.network->blockedLinks.erase({"entry-4", "entry-2"});
     vms.run(seconds(10));
     Node &fresh = *vms.nodes.back();
     EXPECT_EQ(fresh.exchange->freshness(), FreshnessReason::NoContracts) << "only the VM that is behind answered";
-    vms.network->cuts.clear();
+    vms.network->blockedLinks.clear();
     vms.runUntil([&] { return fresh.serves(); }, seconds(5));
     EXPECT_EQ(fresh.version(), 2U);
 }
@@ -273,7 +273,7 @@
     for (int i = 0; i < 3; i++) {
         vms.replace(0, fmt::format("entry-{}", i + 10));
     }
-    vms.network->cuts.clear();
+    vms.network->blockedLinks.clear();
     vms.run(seconds(10));
     EXPECT_EQ(vms.countServing(), 0U);
     vms.setTable(false);
--- a/src/engine/engineclient.h
+++ b/src/engine/engineclient.h
@@ -28,7 +28,7 @@
     /// Closes our side; the engine ends the stream at once (it is told, so that nobody pays for it).
     virtual void cancel(const membership::Vm &server, const std::string &requestId, http::CallId call) = 0;
     /// Closes our side and leaves the engine's stream running, for another VM to resume.
-    virtual void leave(http::CallId call) = 0;
+    virtual void disconnect(http::CallId call) = 0;
 
     /// The KV cache of the running stream @p requestId, as the engine gives it; empty if it can't be had, is larger than
     /// @p limit bytes, or takes longer than @p timeout.
--- a/src/engine/enginetypes.h
+++ b/src/engine/enginetypes.h
@@ -67,13 +67,13 @@
 
     // The following are for a client that moves streams between servers. Unset: the stream is not moved.
     /// Asked when the stream should move: the next attempt, or none if no server can take it.
-    std::function<std::optional<NextAttempt>()> onMove;
+    std::function<std::optional<NextAttempt>()> nextAttempt;
     /// The output so far.
-    std::function<std::span<const std::string>()> soFar;
+    std::function<std::span<const std::string>()> outputTokens;
     /// The connection to a server broke while an attempt ran there. May come before the end of the attempt, which may go on.
-    std::function<void(const std::string &instance)> onBroken;
+    std::function<void(const std::string &instance)> onConnectionBroken;
     /// An attempt ended that is not the last one; the last one's end is onEnd.
-    std::function<void(const std::string &instance, StreamEnd end)> onLeft;
+    std::function<void(const std::string &instance, StreamEnd end)> onAttemptEnded;
 };
 
 } // namespace cardamomlift::engine
--- a/src/engine/internal/engineclient.cpp
+++ b/src/engine/internal/engineclient.cpp
@@ -129,7 +129,7 @@
     http::CallId start(const membership::Vm &server, const EngineRequest &request, EngineHooks hooks) override;
     http::CallId resume(const membership::Vm &server, const std::string &requestId, std::uint64_t position, EngineHooks hooks) override;
     void cancel(const membership::Vm &server, const std::string &requestId, http::CallId call) override;
-    void leave(http::CallId call) override;
+    void disconnect(http::CallId call) override;
     void exportKv(const membership::Vm &server,
         const std::string &requestId,
         std::size_t limit,
@@ -213,7 +213,7 @@
     client_->start(std::move(http), {});
 }
 
-void HttpEngineClient::leave(http::CallId call)
+void HttpEngineClient::disconnect(http::CallId call)
 {
     client_->cancel(call);
 }
--- a/src/gateway/gatewaymodule.cpp
+++ b/src/gateway/gatewaymodule.cpp
@@ -53,9 +53,9 @@
             return gateway.error();
         }
         const std::shared_ptr<Gateway> shared = gateway.value();
-        lifecycle->onLastWork([shared] { shared->stopListening(); });
-        lifecycle->onDrainBound([shared] { shared->failOpenRequests(); });
-        lifecycle->addProbe("gateway", [shared] { return shared->openRequests(); });
+        lifecycle->onStopAccepting([shared] { shared->stopListening(); });
+        lifecycle->onDrainDeadline([shared] { shared->failOpenRequests(); });
+        lifecycle->addOpenWorkCounter("gateway", [shared] { return shared->openRequests(); });
         context.set(shared);
         return success();
     }
--- a/src/gateway/internal/gateway.cpp
+++ b/src/gateway/internal/gateway.cpp
@@ -95,7 +95,7 @@
         responder->respond({ready ? 200 : 503, {{"Content-Type", "text/plain"}}, ready ? "ready\n" : "not ready\n"});
         return;
     }
-    if (!tools_.lifecycle->takesWork()) {
+    if (!tools_.lifecycle->acceptsWork()) {
         refuse(responder, notServingError(phase));
         return;
     }
--- a/src/lifecycle/internal/lifecycle.cpp
+++ b/src/lifecycle/internal/lifecycle.cpp
@@ -45,12 +45,12 @@
     }
 }
 
-void Lifecycle::setGate(std::function<bool()> mayTakeNewWork)
+void Lifecycle::setReadinessCheck(std::function<bool()> mayTakeNewWork)
 {
     gate_ = std::move(mayTakeNewWork);
 }
 
-bool Lifecycle::takesWork() const
+bool Lifecycle::acceptsWork() const
 {
     return phase() == Phase::Ready || (phase_ == Phase::Draining && !isPastLastWork_ && wasReady_);
 }
@@ -77,17 +77,17 @@
     drainHandlers_.push_back(std::move(handler));
 }
 
-void Lifecycle::addProbe(std::string name, std::function<std::size_t()> openCount)
+void Lifecycle::addOpenWorkCounter(std::string name, std::function<std::size_t()> openCount)
 {
     probes_.push_back({std::move(name), std::move(openCount)});
 }
 
-void Lifecycle::onLastWork(std::function<void()> handler)
+void Lifecycle::onStopAccepting(std::function<void()> handler)
 {
     lastWorkHandlers_.push_back(std::move(handler));
 }
 
-void Lifecycle::onDrainBound(std::function<void()> handler)
+void Lifecycle::onDrainDeadline(std::function<void()> handler)
 {
     boundHandlers_.push_back(std::move(handler));
 }
--- a/src/lifecycle/lifecycle.h
+++ b/src/lifecycle/lifecycle.h
@@ -26,20 +26,20 @@
     Phase phase() const;
     void setReady();
     /// Asked at each phase() while ready; false makes that Suspended.
-    void setGate(std::function<bool()> mayTakeNewWork);
+    void setReadinessCheck(std::function<bool()> mayTakeNewWork);
     /// Whether new work may start: when ready, and for a moment after the drain began, until callers have gone elsewhere.
-    bool takesWork() const;
+    bool acceptsWork() const;
     /// Starts draining. The loop stops when every probe gives 0. What is open after @p bound is handed over, and the loop
     /// stops a few seconds later. A repeat logs what is still open; it can shorten the bound, not lengthen it.
     void drain(Duration bound);
     /// Called when the drain begins.
     void onDrain(std::function<void()> handler);
     /// Called a moment later, when no new work is taken any more.
-    void onLastWork(std::function<void()> handler);
+    void onStopAccepting(std::function<void()> handler);
     /// Called when the bound has passed with work still open.
-    void onDrainBound(std::function<void()> handler);
+    void onDrainDeadline(std::function<void()> handler);
     /// @p openCount gives the number of open pieces of work of the part @p name.
-    void addProbe(std::string name, std::function<std::size_t()> openCount);
+    void addOpenWorkCounter(std::string name, std::function<std::size_t()> openCount);
 
 private:
     struct Probe {
--- a/src/lifecycle/tests/lifecycle_test.cpp
+++ b/src/lifecycle/tests/lifecycle_test.cpp
@@ -16,10 +16,10 @@
     {
         loop_ = std::move(EventLoop::create(clock_).value());
         lifecycle_ = Lifecycle::create(*loop_);
-        lifecycle_->addProbe("work", [this] { return open_; });
+        lifecycle_->addOpenWorkCounter("work", [this] { return open_; });
         lifecycle_->onDrain([this] { heard_ += "drain "; });
-        lifecycle_->onLastWork([this] { heard_ += "last-work "; });
-        lifecycle_->onDrainBound([this] { heard_ += "bound "; });
+        lifecycle_->onStopAccepting([this] { heard_ += "last-work "; });
+        lifecycle_->onDrainDeadline([this] { heard_ += "bound "; });
         lifecycle_->setReady();
     }
 
@@ -58,12 +58,12 @@
 {
     lifecycle_->drain(10min);
     EXPECT_EQ(lifecycle_->phase(), Phase::Draining);
-    EXPECT_TRUE(lifecycle_->takesWork());
+    EXPECT_TRUE(lifecycle_->acceptsWork());
     pass(900ms);
-    EXPECT_TRUE(lifecycle_->takesWork());
+    EXPECT_TRUE(lifecycle_->acceptsWork());
     EXPECT_EQ(heard_, "drain ");
     pass(200ms);
-    EXPECT_FALSE(lifecycle_->takesWork());
+    EXPECT_FALSE(lifecycle_->acceptsWork());
     EXPECT_EQ(heard_, "drain last-work ");
 }
 
@@ -104,5 +104,5 @@
 {
     const auto other = Lifecycle::create(*loop_);
     other->drain(1min);
-    EXPECT_FALSE(other->takesWork());
+    EXPECT_FALSE(other->acceptsWork());
 }
--- a/src/limits/tests/customerlimiter_test.cpp
+++ b/src/limits/tests/customerlimiter_test.cpp
@@ -113,8 +113,8 @@
     void partition(std::size_t index)
     {
         for (const auto &vm : vms_) {
-            network_->cuts.insert({vm->instance, vms_[index]->instance});
-            network_->cuts.insert({vms_[index]->instance, vm->instance});
+            network_->blockedLinks.insert({vm->instance, vms_[index]->instance});
+            network_->blockedLinks.insert({vms_[index]->instance, vm->instance});
         }
     }
 
@@ -224,8 +224,8 @@
 {
     start(4);
     for (const auto &[from, to] : std::vector<std::pair<int, int>>{{0, 2}, {0, 3}, {1, 2}, {1, 3}}) {
-        network_->cuts.insert({vms_[from]->instance, vms_[to]->instance});
-        network_->cuts.insert({vms_[to]->instance, vms_[from]->instance});
+        network_->blockedLinks.insert({vms_[from]->instance, vms_[to]->instance});
+        network_->blockedLinks.insert({vms_[to]->instance, vms_[from]->instance});
     }
     load({0, 1, 2, 3}, PerSecond, std::chrono::seconds(5));
     const int before = totalAcquired();
--- a/src/membership/tests/gossip_test.cpp
+++ b/src/membership/tests/gossip_test.cpp
@@ -195,7 +195,7 @@
     for (const Vm &from : fleet.vms) {
         for (const Vm &to : fleet.vms) {
             if ((from.zone < "zone-3") != (to.zone < "zone-3")) {
-                fleet.network->cuts.insert({from.instance, to.instance});
+                fleet.network->blockedLinks.insert({from.instance, to.instance});
             }
         }
     }
@@ -203,7 +203,7 @@
     fleet.advance(std::chrono::minutes(1));
     const std::size_t inside = fleet.countHolding("leaving", "engine-1");
     EXPECT_LT(inside, fleet.vms.size());
-    fleet.network->cuts.clear();
+    fleet.network->blockedLinks.clear();
     fleet.advance(std::chrono::minutes(1));
     EXPECT_EQ(fleet.countHolding("leaving", "engine-1"), fleet.vms.size());
 }
--- a/src/membership/tests/heartbeat_test.cpp
+++ b/src/membership/tests/heartbeat_test.cpp
@@ -45,7 +45,7 @@
         fleet.advance(SettleTime);
         const std::string neighbour = fleet.nodes[0]->gossip->neighbours()[0].instance;
         const std::pair<std::string, std::string> link = isReply ? std::pair(neighbour, fleet.list[0].instance) : std::pair(fleet.list[0].instance, neighbour);
-        fleet.network->cuts.insert(link);
+        fleet.network->blockedLinks.insert(link);
         fleet.advance(std::chrono::minutes(1));
         EXPECT_EQ(healthRumours(*fleet.nodes[5]), 0U);
     }
@@ -101,7 +101,7 @@
     };
     for (const auto &node : fleet.nodes) {
         if (isLost(node->vm)) {
-            fleet.network->members.erase(node->vm.instance);
+            fleet.network->transports.erase(node->vm.instance);
         }
     }
     fleet.cut(isLost);
--- a/src/membership/tests/memberfleet.cpp
+++ b/src/membership/tests/memberfleet.cpp
@@ -106,7 +106,7 @@
     for (const auto &from : nodes) {
         for (const auto &to : nodes) {
             if (isInside(from->vm) != isInside(to->vm)) {
-                network->cuts.insert({from->vm.instance, to->vm.instance});
+                network->blockedLinks.insert({from->vm.instance, to->vm.instance});
             }
         }
     }
@@ -114,7 +114,7 @@
 
 void MemberFleet::heal()
 {
-    network->cuts.clear();
+    network->blockedLinks.clear();
 }
 
 std::size_t MemberFleet::count(const std::function<bool(const Node &)> &condition) const
--- a/src/peers/internal/localtransport.cpp
+++ b/src/peers/internal/localtransport.cpp
@@ -22,15 +22,15 @@
     std::shared_ptr<LocalTransport> transport(new LocalTransport(loop));
     transport->network_ = std::move(network);
     transport->instance_ = std::move(instance);
-    transport->network_->members[transport->instance_] = transport.get();
+    transport->network_->transports[transport->instance_] = transport.get();
     return transport;
 }
 
 LocalTransport::~LocalTransport()
 {
-    const auto found = network_->members.find(instance_);
-    if (found != network_->members.end() && found->second == this) {
-        network_->members.erase(found);
+    const auto found = network_->transports.find(instance_);
+    if (found != network_->transports.end() && found->second == this) {
+        network_->transports.erase(found);
     }
 }
 
@@ -55,12 +55,12 @@
         settle(failure(ErrorKind::Unavailable, "the peer did not answer"));
     });
     loop_.post([network = network_, from = instance_, to = peer.instance, topic = std::move(topic), payload = std::move(payload), settle] {
-        const auto target = network->members.find(to);
-        if (target == network->members.end() || network->cuts.contains({from, to})) {
+        const auto target = network->transports.find(to);
+        if (target == network->transports.end() || network->blockedLinks.contains({from, to})) {
             return;
         }
         target->second->deliver(from, topic, payload, [network, from, to, settle](Result<std::string> result) {
-            if (!network->cuts.contains({to, from})) {
+            if (!network->blockedLinks.contains({to, from})) {
                 settle(std::move(result));
             }
         });
--- a/src/peers/localtransport.h
+++ b/src/peers/localtransport.h
@@ -15,8 +15,8 @@
 
 /// Connects LocalTransports of one process: the small fake of the network between entry VMs, for tests.
 struct LocalNetwork {
-    std::map<std::string, LocalTransport *> members; ///< By instance.
-    std::set<std::pair<std::string, std::string>> cuts; ///< (from, to): messages of this direction are lost.
+    std::map<std::string, LocalTransport *> transports; ///< By instance.
+    std::set<std::pair<std::string, std::string>> blockedLinks; ///< (from, to): messages of this direction are lost.
 };
 
 /// Peer calls inside one process, through a LocalNetwork. Delivery is by the loop's message queue; a lost message ends
--- a/src/reclaim/internal/reclaimwatch.cpp
+++ b/src/reclaim/internal/reclaimwatch.cpp
@@ -16,7 +16,7 @@
 
 } // namespace
 
-Duration drainBoundOf(Duration left)
+Duration drainTimeoutFor(Duration left)
 {
     return std::max(left - HandoverTime, left / 2);
 }
@@ -77,7 +77,7 @@
 void ReclaimWatch::onNotice(Duration left)
 {
     partLogger("reclaim")->warn("This VM is being reclaimed. seconds={}", std::chrono::duration_cast<std::chrono::seconds>(left).count());
-    lifecycle_->drain(drainBoundOf(left));
+    lifecycle_->drain(drainTimeoutFor(left));
 }
 
 } // namespace cardamomlift::reclaim
--- a/src/reclaim/reclaimwatch.h
+++ b/src/reclaim/reclaimwatch.h
@@ -11,7 +11,7 @@
 namespace cardamomlift::reclaim {
 
 /// What is left of the time a notice gives, for streams to finish here: the rest is for the last handover.
-Duration drainBoundOf(Duration left);
+Duration drainTimeoutFor(Duration left);
 
 /// Learns that this VM is to be reclaimed, from the platform's notice or from the list of VMs, and starts the drain.
 class ReclaimWatch : public std::enable_shared_from_this<ReclaimWatch>
--- a/src/reclaim/tests/reclaimwatch_test.cpp
+++ b/src/reclaim/tests/reclaimwatch_test.cpp
@@ -7,9 +7,9 @@
 
 TEST(ReclaimWatch, LeavesTimeForTheLastHandover)
 {
-    EXPECT_EQ(reclaim::drainBoundOf(30s), Duration(28500ms));
-    EXPECT_EQ(reclaim::drainBoundOf(2s), Duration(1s));
-    EXPECT_EQ(reclaim::drainBoundOf(0s), Duration(0));
+    EXPECT_EQ(reclaim::drainTimeoutFor(30s), Duration(28500ms));
+    EXPECT_EQ(reclaim::drainTimeoutFor(2s), Duration(1s));
+    EXPECT_EQ(reclaim::drainTimeoutFor(0s), Duration(0));
 }
 
 TEST(ReclaimWatch, TheListsLeavingMarkStartsTheDrain)
--- a/src/recovery/internal/recoveringclient.cpp
+++ b/src/recovery/internal/recoveringclient.cpp
@@ -92,12 +92,12 @@
     }
 }
 
-void RecoveringClient::leave(http::CallId call)
+void RecoveringClient::disconnect(http::CallId call)
 {
     const auto found = streams_.find(call);
     if (found != streams_.end()) {
         const auto stream = found->second;
-        stream->leave();
+        stream->disconnect();
     }
 }
 
--- a/src/recovery/internal/recoveringstream.cpp
+++ b/src/recovery/internal/recoveringstream.cpp
@@ -167,8 +167,8 @@
     eventSource_ = id;
     failedMoves_ += id == machine_.successor ? 1 : 0;
     const std::string instance = attempt.server.instance;
-    if (result.end == StreamEnd::Broken && !result.timedOut && hooks_.onBroken) {
-        hooks_.onBroken(instance);
+    if (result.end == StreamEnd::Broken && !result.timedOut && hooks_.onConnectionBroken) {
+        hooks_.onConnectionBroken(instance);
     }
     apply(onAttemptEnd(machine_, id, result.end));
     if (!machine_.ended && id != machine_.current) {
@@ -247,8 +247,8 @@
     const std::string instance = found->second.server.instance;
     tools_.estimates->prefillTokensInFlight -= found->second.estimatedPrefillTokens;
     attempts_.erase(found);
-    if (hooks_.onLeft) {
-        hooks_.onLeft(instance, end);
+    if (hooks_.onAttemptEnded) {
+        hooks_.onAttemptEnded(instance, end);
     }
 }
 
@@ -257,7 +257,7 @@
     Attempt &attempt = attempts_[machine_.current];
     if (attempt.connection != 0) {
         attempt.connection = 0;
-        tools_.direct->leave(attempt.call);
+        tools_.direct->disconnect(attempt.call);
     }
     attempt.hasEnded = false;
     isResuming_ = true;
@@ -306,7 +306,7 @@
     apply(onCancel(machine_));
 }
 
-void RecoveringStream::leave()
+void RecoveringStream::disconnect()
 {
     if (machine_.ended) {
         return;
@@ -320,7 +320,7 @@
         }
         // NOTE The VM that takes over resumes the attempt chosen last; nobody would read an older one.
         if (id == last) {
-            tools_.direct->leave(attempt.call);
+            tools_.direct->disconnect(attempt.call);
         } else {
             tools_.direct->cancel(attempt.server, attempt.requestId, attempt.call);
         }
--- a/src/recovery/internal/recoveringstream.h
+++ b/src/recovery/internal/recoveringstream.h
@@ -40,7 +40,7 @@
     void join(const membership::Vm &server, const std::string &requestId, std::uint64_t position);
     void cancel();
     /// Ends the stream here, but leaves the attempt that was chosen last running at its engine.
-    void leave();
+    void disconnect();
     /// Instance of the current server; empty if there is none.
     std::string server() const;
     void checkStall();
--- a/src/recovery/internal/recoveringstreammove.cpp
+++ b/src/recovery/internal/recoveringstreammove.cpp
@@ -18,7 +18,7 @@
 void RecoveringStream::checkReclaim(Duration left)
 {
     const bool isBusy = machine_.isPreparing || machine_.successor != NoAttempt || machine_.current == NoAttempt;
-    if (machine_.ended || isBusy || !hooks_.onMove || !hooks_.soFar || failedMoves_ >= MaxFailedMoves) {
+    if (machine_.ended || isBusy || !hooks_.nextAttempt || !hooks_.outputTokens || failedMoves_ >= MaxFailedMoves) {
         return;
     }
     const RecoveryPlan plan = planRecovery(inputs(left));
@@ -67,7 +67,7 @@
 
 void RecoveringStream::prepareMove()
 {
-    const auto next = hooks_.onMove();
+    const auto next = hooks_.nextAttempt();
     if (!next) {
         failedMoves_++;
         apply(onMovePrepared(machine_, NoAttempt));
@@ -138,8 +138,8 @@
     Attempt &attempt = attempts_[id];
     attempt.method = kvFrom.empty() ? RecoveryMethod::Recompute : RecoveryMethod::MoveKv;
     engine::EngineRequest request = std::move(attempt.request);
-    const auto soFar = hooks_.soFar();
-    request.continueTokens.assign(soFar.begin(), soFar.end());
+    const auto outputTokens = hooks_.outputTokens();
+    request.continueTokens.assign(outputTokens.begin(), outputTokens.end());
     request.kvFrom = kvFrom;
     preparedAttempt_ = NoAttempt;
     startAttempt(id, request);
--- a/src/recovery/recoveringclient.h
+++ b/src/recovery/recoveringclient.h
@@ -32,7 +32,7 @@
     http::CallId start(const membership::Vm &server, const engine::EngineRequest &request, engine::EngineHooks hooks) override;
     http::CallId resume(const membership::Vm &server, const std::string &requestId, std::uint64_t position, engine::EngineHooks hooks) override;
     void cancel(const membership::Vm &server, const std::string &requestId, http::CallId call) override;
-    void leave(http::CallId call) override;
+    void disconnect(http::CallId call) override;
     void exportKv(const membership::Vm &server,
         const std::string &requestId,
         std::size_t limit,
--- a/src/recovery/tests/recoveringclient_test.cpp
+++ b/src/recovery/tests/recoveringclient_test.cpp
@@ -49,10 +49,10 @@
     void cancel(const membership::Vm &, const std::string &requestId, http::CallId call) override
     {
         running[requestId] = false;
-        leave(call);
+        disconnect(call);
     }
 
-    void leave(http::CallId call) override
+    void disconnect(http::CallId call) override
     {
         connections[call - 1].closed = true;
     }
@@ -120,13 +120,13 @@
                 openAttempts_[result.server]--;
             }
         };
-        hooks.onMove = [this] {
+        hooks.nextAttempt = [this] {
             return nextAttempt();
         };
-        hooks.soFar = [this] {
+        hooks.outputTokens = [this] {
             return std::span<const std::string>(output_);
         };
-        hooks.onLeft = [this](const std::string &instance, StreamEnd) {
+        hooks.onAttemptEnded = [this](const std::string &instance, StreamEnd) {
             openAttempts_[instance]--;
         };
         return hooks;
--- a/src/spending/spendingmodule.cpp
+++ b/src/spending/spendingmodule.cpp
@@ -34,7 +34,7 @@
         auto limiter = SpendingLimiter::create(std::move(tools));
         auto lifecycle = context.get<lifecycle::Lifecycle>();
         lifecycle->onDrain([limiter] { limiter->drain(); });
-        lifecycle->addProbe("spending", [limiter] { return limiter->pendingReturns(); });
+        lifecycle->addOpenWorkCounter("spending", [limiter] { return limiter->pendingReturns(); });
         context.set(limiter);
         return success();
     }
--- a/src/spending/tests/spendinglimiter_test.cpp
+++ b/src/spending/tests/spendinglimiter_test.cpp
@@ -164,7 +164,7 @@
     start(2, 10);
     reserve(0, 4 * MicrosPerCent);
     advance(ShortTime);
-    network_->cuts = {{"entry-0", "entry-1"}, {"entry-1", "entry-0"}};
+    network_->blockedLinks = {{"entry-0", "entry-1"}, {"entry-1", "entry-0"}};
     reserve(1, 7 * MicrosPerCent);
     advance(std::chrono::seconds(2));
     EXPECT_EQ(vms_[1]->outcomes[ReserveOutcome::BoundReached], 1);
--- a/src/streams/internal/streamsession.cpp
+++ b/src/streams/internal/streamsession.cpp
@@ -172,16 +172,16 @@
     hooks.onEnd = [self = shared_from_this(), engineStream](const engine::EngineResult &result) {
         self->onEnd(engineStream, result);
     };
-    hooks.onMove = [self = shared_from_this()] {
+    hooks.nextAttempt = [self = shared_from_this()] {
         return self->nextAttempt();
     };
-    hooks.soFar = [self = shared_from_this()] {
+    hooks.outputTokens = [self = shared_from_this()] {
         return std::span<const std::string>(self->state_.tokens);
     };
-    hooks.onLeft = [self = shared_from_this()](const std::string &instance, engine::StreamEnd end) {
+    hooks.onAttemptEnded = [self = shared_from_this()](const std::string &instance, engine::StreamEnd end) {
         self->tools_.planner->attemptReplaced(self->record_, instance, toAttemptEnd(end));
     };
-    hooks.onBroken = [self = shared_from_this()](const std::string &instance) {
+    hooks.onConnectionBroken = [self = shared_from_this()](const std::string &instance) {
         self->tools_.planner->connectionBroken(instance);
     };
     return hooks;
@@ -305,7 +305,7 @@
 {
     const auto reader = std::exchange(observer_, nullptr);
     if (!ended_) {
-        tools_.engine->leave(call_);
+        tools_.engine->disconnect(call_);
         wasHandedOver_ = true;
         end();
     }
--- a/src/streams/streamsmodule.cpp
+++ b/src/streams/streamsmodule.cpp
@@ -35,8 +35,8 @@
         context.get<metrics::Metrics>()->gauge("request_copies", [registry] { return static_cast<double>(registry->copyCount()); });
         const auto lifecycle = context.get<lifecycle::Lifecycle>();
         lifecycle->onDrain([registry] { registry->startHandover(); });
-        lifecycle->onDrainBound([registry] { registry->finishHandover(); });
-        lifecycle->addProbe("streams", [registry] { return registry->openCount(); });
+        lifecycle->onDrainDeadline([registry] { registry->finishHandover(); });
+        lifecycle->addOpenWorkCounter("streams", [registry] { return registry->openCount(); });
         context.set(registry);
         return success();
     }
--- a/src/streams/tests/streamregistry_test.cpp
+++ b/src/streams/tests/streamregistry_test.cpp
@@ -230,7 +230,7 @@
 
 TEST_F(StreamRegistryTest, RequestWithoutReachablePeerIsServedAndCounted)
 {
-    network_->cuts.insert({"entry-1", "entry-2"});
+    network_->blockedLinks.insert({"entry-1", "entry-2"});
     openStream();
     EXPECT_EQ(first_.metrics->counter("copies_missing_total"), 1U);
 }
