--- a/src/contract/tests/contractexchange_test.cpp
+++ b/src/contract/tests/contractexchange_test.cpp
@@ -143,8 +143,8 @@
     void isolate(std::size_t index)
     {
         for (const auto &other : nodes) {
-            network->cuts.insert({nodes[index]->instance, other->instance});
-            network->cuts.insert({other->instance, nodes[index]->instance});
+            network->blockedLinks.insert({nodes[index]->instance, other->instance});
+            network->blockedLinks.insert({other->instance, nodes[index]->instance});
         }
     }
 
@@ -209,7 +209,7 @@
     cluster.edit(0, 20, 1);
     cluster.run(seconds(2));
     EXPECT_EQ(cluster.nodes[2]->version(), 1U);
-    cluster.network->cuts.clear();
+    cluster.network->blockedLinks.clear();
     cluster.runUntil([&] { return cluster.countAcceptingNewWork() == 3; }, seconds(4));
     EXPECT_EQ(cluster.nodes[2]->version(), 2U) << "it must not accept new work before it has the edit";
 }
@@ -234,8 +234,8 @@
     cluster.run(seconds(3));
     cluster.isolate(3);
     cluster.isolate(4);
-    cluster.network->cuts.erase({"entry-4", "entry-5"});
-    cluster.network->cuts.erase({"entry-5", "entry-4"});
+    cluster.network->blockedLinks.erase({"entry-4", "entry-5"});
+    cluster.network->blockedLinks.erase({"entry-5", "entry-4"});
     cluster.setTableDown(true);
     cluster.run(FreshnessBound + seconds(2));
     EXPECT_EQ(cluster.countAcceptingNewWork(), 3U);
@@ -254,12 +254,12 @@
     cluster.run(seconds(1));
     cluster.setTableDown(true);
     cluster.replace(0, "entry-4");
-    cluster.network->cuts.insert({"entry-4", "entry-3"});
-    cluster.network->cuts.erase({"entry-4", "entry-2"});
+    cluster.network->blockedLinks.insert({"entry-4", "entry-3"});
+    cluster.network->blockedLinks.erase({"entry-4", "entry-2"});
     cluster.run(seconds(10));
     Node &newNode = *cluster.nodes.back();
     EXPECT_EQ(newNode.exchange->freshness(), FreshnessReason::NoContracts) << "only the VM without the edit has replied";
-    cluster.network->cuts.clear();
+    cluster.network->blockedLinks.clear();
     cluster.runUntil([&] { return newNode.acceptsNewWork(); }, seconds(5));
     EXPECT_EQ(newNode.version(), 2U);
 }
@@ -273,7 +273,7 @@
     for (int i = 0; i < 3; i++) {
         cluster.replace(0, fmt::format("entry-{}", i + 10));
     }
-    cluster.network->cuts.clear();
+    cluster.network->blockedLinks.clear();
     cluster.run(seconds(10));
     EXPECT_EQ(cluster.countAcceptingNewWork(), 0U);
     cluster.setTableDown(false);
