--- a/src/http1/backendchannel.h
+++ b/src/http1/backendchannel.h
@@ -9,16 +9,16 @@
 
 namespace cardamomlift::http1 {
 
-/// Why a call on a channel got no whole response.
+/// Why a call on a channel did not get a complete response.
 enum class CallFailure {
-    NotConnected, ///< No connection came about; nothing was sent.
-    NotSent, ///< The connection ended before a byte of the request had left.
-    Broken, ///< The connection ended, or its bytes are no response, after a byte of the request may have left.
+    NotConnected, ///< The connection could not be established; nothing was sent.
+    NotSent, ///< The connection ended before any byte of the request was sent.
+    Broken, ///< The connection ended, or its bytes are not a valid response, after a byte of the request may have been sent.
 };
 
-/// What one call on a channel reports. Handlers may close the channel.
+/// Callbacks of one call. They may close the channel.
 struct CallHandlers {
-    /// True if the response belongs to this call. A false one is read to its end and dropped, and the next one awaited.
+    /// True if the response belongs to this call. Any other is read to its end and discarded, and the next one is awaited.
     std::function<bool(const ResponseHead &head)> accepts;
     std::function<void(ResponseHead head)> onHead;
     std::function<void(std::string_view part)> onBody;
@@ -26,24 +26,25 @@
     std::function<void(CallFailure failure)> onFailure;
 };
 
-/// One connection to a server, for one call at a time. Never sends a request by itself again.
+/// One connection to a server, for one call at a time. Never retries a request by itself.
 class BackendChannel : public std::enable_shared_from_this<BackendChannel>
 {
 public:
     static std::shared_ptr<BackendChannel> connect(EventLoop &loop, const Endpoint &to, const SocketOptions &options, const ReadLimits &limits);
     ~BackendChannel();
 
-    /// Sends @p request, a whole encoded request. @p isHead: its method is HEAD.
+    /// Sends @p request, a complete serialised request. @p isHead: its method is HEAD.
     void call(std::string_view request, bool isHead, CallHandlers handlers);
-    /// True if another call may be made: connected or connecting, no call open, nothing unread or unsent.
+    /// True if another call may be made: connected or connecting, no call in progress, nothing unread or unsent, and the
+    /// server's keep-alive time has not passed.
     bool isReusable() const;
-    /// True once the connection stands.
+    /// True once the connection was established, also after it has ended.
     bool isConnected() const;
-    /// When the server will close the idle connection, less a margin; far away if it did not say.
+    /// When the server will close the idle connection, less a safety margin; TimePoint::max() if it did not say.
     TimePoint reusableUntil() const;
-    /// Called once if the connection ends while no call is open.
+    /// @p handler is called once if the connection ends while no call is in progress.
     void onIdleClosed(std::function<void()> handler);
-    /// Ends the connection; no handler is called any more.
+    /// Closes the connection. No handler is called after that.
     void close();
 
 private:
@@ -51,25 +52,25 @@
     void onData(std::string_view bytes);
     void onSocketEnd(SocketEnd end);
     void readResponse(std::string_view bytes);
-    void onHeadRead();
-    void passBody();
+    void onHeadReceived();
+    void deliverBody();
     void complete();
     void fail(CallFailure failure);
-    void noteKeepAlive();
+    void readKeepAliveTimeout();
     EventLoop &loop_;
     ReadLimits limits_;
     std::shared_ptr<Socket> socket_;
     bool connected_ = false;
     bool calling_ = false;
     bool isHead_ = false;
-    bool spoiled_ = false; ///< What was read or sent last leaves the connection in an unknown state.
-    bool headSeen_ = false;
-    bool foreign_ = false; ///< The response that is being read belongs to no open call.
+    bool notReusable_ = false; ///< The server closes the connection, or unexpected or unsent bytes leave it in an unknown state.
+    bool headReceived_ = false;
+    bool discarding_ = false; ///< The response being read is interim (1xx) or does not belong to the call, and is dropped.
     bool closed_ = false;
     std::unique_ptr<ResponseReader> reader_;
     CallHandlers handlers_;
     TimePoint reusableUntil_ = TimePoint::max();
-    std::function<void()> idleEnd_;
+    std::function<void()> onIdleClosed_;
 };
 
 } // namespace cardamomlift::http1
--- a/src/http1/http1types.h
+++ b/src/http1/http1types.h
@@ -14,15 +14,15 @@
 struct Endpoint {
     std::string address;
     std::uint16_t port = 0;
-    // NOLINTNEXTLINE(modernize-use-nullptr): a false finding on a defaulted comparison.
+    // NOLINTNEXTLINE(modernize-use-nullptr): a false positive on a defaulted comparison.
     auto operator<=>(const Endpoint &) const = default;
 };
 
-/// Reads "10.0.0.1:80". Empty if it is anything else.
+/// Parses an IPv4 address and port such as "10.0.0.1:80". Empty if @p text is anything else.
 std::optional<Endpoint> parseEndpoint(std::string_view text);
 std::string formatEndpoint(const Endpoint &endpoint);
 
-/// One header field, with the name as it was spelled.
+/// One header field. The name keeps its original case.
 struct Field {
     std::string name;
     std::string value;
@@ -46,47 +46,47 @@
     std::vector<Field> list_;
 };
 
-/// True if both spell the same header name, token or host.
+/// Compares header names, tokens and host names, which are case-insensitive.
 bool equalsIgnoreCase(std::string_view a, std::string_view b);
-/// True if the comma-separated list @p value holds @p token.
+/// True if the comma-separated list @p value contains @p token.
 bool hasToken(std::string_view value, std::string_view token);
-/// A decimal number without sign. Empty for anything else.
+/// Parses a decimal number without a sign. Empty if @p text is anything else.
 std::optional<std::int64_t> parseNumber(std::string_view text);
 
-/// Fields that concern one connection only and are never passed on: those that HTTP names and those that the Connection
-/// field lists.
+/// True for hop-by-hop fields, which concern one connection only and must not be forwarded: those that the HTTP standard
+/// defines, and those listed in the Connection field, whose value is @p connectionValue.
 bool isHopByHopField(std::string_view name, std::string_view connectionValue);
 
-/// The first line and the fields of a request.
+/// The request line and header fields of a request.
 struct RequestHead {
     std::string method;
-    std::string target; ///< Path and query as they came, nothing decoded.
-    int version = 11; ///< 10 or 11.
+    std::string target; ///< Path and query as received, not decoded.
+    int version = 11; ///< 10 for HTTP/1.0, 11 for HTTP/1.1.
     Fields fields;
 };
 
-/// The first line and the fields of a response.
+/// The status line and header fields of a response.
 struct ResponseHead {
     int status = 0;
-    std::string reason; ///< Empty: the usual words of the status.
+    std::string reason; ///< Empty: the standard reason phrase of the status.
     int version = 11;
     Fields fields;
 };
 
-/// The usual words of a status.
+/// The standard reason phrase of a status code.
 std::string_view reasonPhrase(int status);
 
-/// How the body of an outgoing message ends.
+/// How the body of an outgoing message is delimited.
 enum class Framing { Length, Chunked };
 
-/// The bytes of a head. Fields of the framing (length, coding) are added here; @p head must not hold them.
+/// Serialises a message head. Adds the framing fields (Content-Length, Transfer-Encoding); @p head must not contain them.
 std::string encodeHead(const RequestHead &head, std::size_t bodyLength);
 std::string encodeHead(const ResponseHead &head, Framing framing, std::size_t bodyLength, bool close);
-/// One chunk of a chunked body. @p data must not be empty.
+/// Serialises one chunk of a chunked body. @p data must not be empty, as an empty chunk ends the body.
 std::string encodeChunk(std::string_view data);
 inline constexpr std::string_view LastChunk = "0\r\n\r\n";
 
-/// A whole response.
+/// A complete response.
 struct Response {
     ResponseHead head;
     std::string body;
--- a/src/http1/httpserver.h
+++ b/src/http1/httpserver.h
@@ -10,17 +10,18 @@
 
 namespace cardamomlift::http1 {
 
-/// How long callers may take, and how much is held for one of them.
+/// Timeouts and memory limits of client connections.
 struct ServerLimits {
     ReadLimits read;
-    Duration headerTimeout = std::chrono::seconds(10); ///< From the first byte of a request to its last header byte.
-    Duration idleTimeout = std::chrono::seconds(60); ///< Between requests; also the longest silence inside a body.
-    std::size_t maxConnections = 3000; ///< Open at once; more are closed as they come.
-    std::size_t maxUnsentResponseBytes = 1048576; ///< Unsent answer bytes of one caller; beyond it the caller is too slow and is cut off.
-    std::size_t maxBufferedBodyBytes = 64u << 20; ///< Request bodies of all callers together.
+    Duration headerTimeout = std::chrono::seconds(10); ///< From the first byte of a request to the end of its header.
+    Duration idleTimeout = std::chrono::seconds(60); ///< Between requests; also the longest pause within a request body.
+    std::size_t maxConnections = 3000; ///< Open at once; further ones are closed when they are accepted.
+    std::size_t maxUnsentResponseBytes = 1048576; ///< Of one response sent in parts; a client that reads more slowly is disconnected.
+    std::size_t maxBufferedBodyBytes = 64u << 20; ///< Request bodies of all connections together.
 };
 
-/// One request of a caller, and the way to answer it. Exactly one of answer(), abort() or begin()..end() follows.
+/// One request and the means to respond to it. One of these must follow: answer(); begin(), any number of send(), and end(); or
+/// abort(), which may also come after begin().
 class Exchange
 {
 public:
@@ -29,42 +30,43 @@
     virtual const std::string &body() const = 0;
     /// When the first byte of the request was read.
     virtual TimePoint startedAt() const = 0;
-    /// Called once if the caller closes, or is cut off, before the answer has ended.
+    /// @p handler is called once if the client closes the connection, or is disconnected, before the response is complete.
     virtual void onDisconnected(std::function<void()> handler) = 0;
-    /// Sends a whole answer.
+    /// Sends a complete response.
     virtual void answer(ResponseHead head, std::string_view body) = 0;
-    /// Sends the head of an answer whose body follows in parts.
+    /// Sends the head of a response whose body follows in parts.
     virtual void begin(ResponseHead head) = 0;
     virtual void send(std::string_view part) = 0;
-    /// Ends the body, so that the answer is complete.
+    /// Ends the body and thus completes the response.
     virtual void end() = 0;
-    /// Closes the connection so that the caller sees that the answer is not complete.
+    /// Closes the connection without completing the response, so that the client sees that it is incomplete.
     virtual void abort() = 0;
 };
 
 using ExchangePtr = std::shared_ptr<Exchange>;
 
-/// What a server tells its owner.
+/// Callbacks of a server.
 struct ServerHandlers {
     std::function<void(ExchangePtr exchange)> onRequest;
-    /// A request that can't be read was answered with @p status and its connection closed.
+    /// A request was refused with @p status and its connection is being closed: it is malformed or too large, it timed out, or
+    /// the memory for request bodies is used up.
     std::function<void(int status)> onRejected;
 };
 
-/// Accepts callers' connections and reads their requests, one after the other on each connection.
+/// Accepts client connections and reads their requests, one at a time on each connection.
 class HttpServer
 {
 public:
     static Result<std::shared_ptr<HttpServer>> listen(EventLoop &loop, const Endpoint &at, const ServerLimits &limits, ServerHandlers handlers);
     virtual ~HttpServer() = default;
     virtual void setLimits(const ServerLimits &limits) = 0;
-    /// From here on each answer closes its connection; connections go on being accepted.
+    /// From now on each response closes its connection. New connections are still accepted.
     virtual void disableKeepAlive() = 0;
-    /// Reads nothing more and accepts no connection: right before the process ends. What is still unread has not run, and
-    /// its caller sees that.
+    /// Stops reading and accepting connections, right before the process ends. Requests that are still unread have not run, and
+    /// their clients can tell by the close without a response.
     virtual void stopReading() = 0;
     virtual std::size_t openConnections() const = 0;
-    /// Requests that are read or answered now.
+    /// Requests that are being read or answered now.
     virtual std::size_t openExchanges() const = 0;
     virtual std::uint16_t port() const = 0;
 };
--- a/src/http1/internal/backendchannel.cpp
+++ b/src/http1/internal/backendchannel.cpp
@@ -6,9 +6,9 @@
 
 namespace {
 
-/// A server's idle time is cut by this, since its clock starts when it sends and ours when we read.
+/// Subtracted from the server's keep-alive timeout, as the server counts from sending the response and we from reading it.
 constexpr Duration KeepAliveMargin = std::chrono::milliseconds(500);
-constexpr std::string_view KeepAliveTimeout = "timeout=";
+constexpr std::string_view KeepAliveTimeoutParameter = "timeout=";
 constexpr int FirstFinalStatus = 200;
 
 } // namespace
@@ -46,8 +46,8 @@
 {
     calling_ = true;
     isHead_ = isHead;
-    headSeen_ = false;
-    foreign_ = false;
+    headReceived_ = false;
+    discarding_ = false;
     handlers_ = std::move(handlers);
     reader_ = ResponseReader::create(limits_, isHead);
     socket_->write(request);
@@ -55,7 +55,7 @@
 
 bool BackendChannel::isReusable() const
 {
-    return !closed_ && !calling_ && !spoiled_ && socket_->isOpen() && loop_.now() < reusableUntil_;
+    return !closed_ && !calling_ && !notReusable_ && socket_->isOpen() && loop_.now() < reusableUntil_;
 }
 
 bool BackendChannel::isConnected() const
@@ -70,7 +70,7 @@
 
 void BackendChannel::onIdleClosed(std::function<void()> handler)
 {
-    idleEnd_ = std::move(handler);
+    onIdleClosed_ = std::move(handler);
 }
 
 void BackendChannel::close()
@@ -84,7 +84,7 @@
 {
     const auto self = shared_from_this();
     if (!calling_) {
-        spoiled_ = true;
+        notReusable_ = true;
         onSocketEnd(SocketEnd::Reset);
         return;
     }
@@ -96,58 +96,58 @@
     while (!bytes.empty() && calling_) {
         bytes.remove_prefix(reader_->feed(bytes));
         if (reader_->error() != ReadError::None) {
-            spoiled_ = true;
+            notReusable_ = true;
             fail(CallFailure::Broken);
             return;
         }
-        if (!headSeen_ && reader_->isHeadComplete()) {
-            onHeadRead();
+        if (!headReceived_ && reader_->isHeadComplete()) {
+            onHeadReceived();
         }
         if (closed_ || !calling_) {
             return;
         }
-        passBody();
+        deliverBody();
         if (closed_ || !calling_ || !reader_->isComplete()) {
             return;
         }
-        if (foreign_) {
+        if (discarding_) {
             reader_ = ResponseReader::create(limits_, isHead_);
-            headSeen_ = false;
-            foreign_ = false;
+            headReceived_ = false;
+            discarding_ = false;
             continue;
         }
-        spoiled_ = spoiled_ || !bytes.empty();
+        notReusable_ = notReusable_ || !bytes.empty();
         complete();
         return;
     }
 }
 
-void BackendChannel::onHeadRead()
+void BackendChannel::onHeadReceived()
 {
-    headSeen_ = true;
-    foreign_ = reader_->head().status < FirstFinalStatus || !handlers_.accepts(reader_->head());
-    noteKeepAlive();
-    if (!foreign_) {
+    headReceived_ = true;
+    discarding_ = reader_->head().status < FirstFinalStatus || !handlers_.accepts(reader_->head());
+    readKeepAliveTimeout();
+    if (!discarding_) {
         handlers_.onHead(std::move(reader_->head()));
     }
 }
 
-void BackendChannel::passBody()
+void BackendChannel::deliverBody()
 {
     const std::string part = reader_->takeBody();
-    if (!part.empty() && !foreign_) {
+    if (!part.empty() && !discarding_) {
         handlers_.onBody(part);
     }
 }
 
-void BackendChannel::noteKeepAlive()
+void BackendChannel::readKeepAliveTimeout()
 {
     const std::string_view value = reader_->head().fields.get("Keep-Alive");
-    const auto place = value.find(KeepAliveTimeout);
-    if (place == std::string_view::npos) {
+    const auto position = value.find(KeepAliveTimeoutParameter);
+    if (position == std::string_view::npos) {
         return;
     }
-    const std::string_view digits = value.substr(place + KeepAliveTimeout.size());
+    const std::string_view digits = value.substr(position + KeepAliveTimeoutParameter.size());
     const auto seconds = parseNumber(digits.substr(0, digits.find_first_not_of("0123456789")));
     if (seconds) {
         reusableUntil_ = loop_.now() + std::chrono::seconds(*seconds) - KeepAliveMargin;
@@ -156,8 +156,8 @@
 
 void BackendChannel::complete()
 {
-    // An answer that came before the whole request had left: the server still expects the rest of it.
-    spoiled_ = spoiled_ || socket_->unsentBytes() > 0 || !reader_->keepsAlive();
+    // If the response came before the whole request was sent, the server still expects the rest of the request.
+    notReusable_ = notReusable_ || socket_->unsentBytes() > 0 || !reader_->keepsAlive();
     calling_ = false;
     const CallHandlers handlers = std::move(handlers_);
     handlers.onComplete();
@@ -171,8 +171,8 @@
     }
     if (!calling_) {
         close();
-        if (const auto idleEnd = std::exchange(idleEnd_, nullptr)) {
-            idleEnd();
+        if (const auto handler = std::exchange(onIdleClosed_, nullptr)) {
+            handler();
         }
         return;
     }
@@ -180,10 +180,10 @@
         fail(CallFailure::NotConnected);
         return;
     }
-    if (end == SocketEnd::Closed && headSeen_ && !foreign_) {
+    if (end == SocketEnd::Closed && headReceived_ && !discarding_) {
         reader_->finish();
         if (reader_->isComplete()) {
-            spoiled_ = true;
+            notReusable_ = true;
             complete();
             return;
         }
--- a/src/http1/internal/http1types.cpp
+++ b/src/http1/internal/http1types.cpp
@@ -13,7 +13,7 @@
 
 namespace {
 
-constexpr std::array<std::string_view, 9> ConnectionFields{
+constexpr std::array<std::string_view, 9> HopByHopFields{
     "connection", "keep-alive", "proxy-connection", "proxy-authenticate", "proxy-authorization", "te", "trailer", "transfer-encoding", "upgrade"};
 
 std::string_view trimmed(std::string_view text)
@@ -96,10 +96,10 @@
 
 bool isHopByHopField(std::string_view name, std::string_view connectionValue)
 {
-    const auto isSame = [name](std::string_view other) {
+    const auto matchesName = [name](std::string_view other) {
         return equalsIgnoreCase(name, other);
     };
-    return std::any_of(ConnectionFields.begin(), ConnectionFields.end(), isSame) || hasToken(connectionValue, name);
+    return std::any_of(HopByHopFields.begin(), HopByHopFields.end(), matchesName) || hasToken(connectionValue, name);
 }
 
 void Fields::add(std::string_view name, std::string_view value)
--- a/src/http1/internal/httpclient.cpp
+++ b/src/http1/internal/httpclient.cpp
@@ -24,9 +24,9 @@
 
 std::shared_ptr<BackendChannel> HttpClient::idleChannel()
 {
-    while (!idle_.empty()) {
-        auto channel = std::move(idle_.back());
-        idle_.pop_back();
+    while (!idleChannels_.empty()) {
+        auto channel = std::move(idleChannels_.back());
+        idleChannels_.pop_back();
         if (channel->isReusable()) {
             return channel;
         }
@@ -42,9 +42,9 @@
     call->channel = idleChannel();
     call->result.sentAt = loop_.now();
     head.fields.set("Host", formatEndpoint(server_));
-    // NOTE The timer holds the call, and with it the client, until it ends; so a client may be dropped with calls open.
+    // NOTE The timer keeps the call and the client alive until the call ends, so a client may be released with calls in progress.
     call->timer = loop_.after(timeout, [self = shared_from_this(), call] {
-        self->idle_.clear();
+        self->idleChannels_.clear();
         self->finish(call, false, true);
     });
     CallHandlers handlers;
@@ -77,21 +77,21 @@
     loop_.cancel(call->timer);
     const auto channel = std::move(call->channel);
     if (answered) {
-        keep(channel);
+        returnToPool(channel);
     } else {
         channel->close();
     }
-    // Freed by the loop: the channel is in the middle of telling us.
+    // Destroyed by the loop later, as this function is called from a callback of the channel.
     loop_.post([channel] {});
     call->result.isAnswered = answered;
     call->result.mayHaveArrived = mayHaveArrived;
     call->handler(std::move(call->result));
 }
 
-void HttpClient::keep(const std::shared_ptr<BackendChannel> &channel)
+void HttpClient::returnToPool(const std::shared_ptr<BackendChannel> &channel)
 {
     if (channel->isReusable()) {
-        idle_.push_back(channel);
+        idleChannels_.push_back(channel);
     }
 }
 
--- a/src/http1/internal/httpserver.cpp
+++ b/src/http1/internal/httpserver.cpp
@@ -15,9 +15,9 @@
 namespace {
 
 constexpr int Backlog = 1024;
-/// How often silent connections are looked for; their time limits are seconds.
-constexpr Duration SweepPeriod = std::chrono::milliseconds(500);
-/// Connections accepted before other sockets get their turn.
+/// How often the timeouts of connections are checked; the timeouts are in the range of seconds.
+constexpr Duration TimeoutCheckPeriod = std::chrono::milliseconds(500);
+/// Connections accepted per round of the loop, so that other sockets are served in between.
 constexpr int AcceptBatch = 64;
 
 class HttpServerImpl : public HttpServer
@@ -30,15 +30,15 @@
         state_->loop = &loop;
         state_->limits = limits;
         state_->handlers = std::move(handlers);
-        state_->forget = [this](ServerConnection *connection) {
-            forget(connection);
+        state_->removeConnection = [this](ServerConnection *connection) {
+            removeConnection(connection);
         };
     }
 
     ~HttpServerImpl() override
     {
-        loop_.cancel(sweepTimer_);
-        state_->forget = [](ServerConnection *) {
+        loop_.cancel(timeoutCheckTimer_);
+        state_->removeConnection = [](ServerConnection *) {
         };
         if (descriptor_ >= 0) {
             ev_io_stop(loop_.raw(), &watcher_);
@@ -63,9 +63,9 @@
         port_ = ntohs(address.sin_port);
         watcher_.data = this;
         ev_io_init(
-            &watcher_, [](struct ev_loop *, ev_io *watcher, int) { static_cast<HttpServerImpl *>(watcher->data)->acceptAll(); }, descriptor_, EV_READ);
+            &watcher_, [](struct ev_loop *, ev_io *watcher, int) { static_cast<HttpServerImpl *>(watcher->data)->acceptConnections(); }, descriptor_, EV_READ);
         ev_io_start(loop_.raw(), &watcher_);
-        sweepTimer_ = loop_.every(SweepPeriod, [this] { sweep(); });
+        timeoutCheckTimer_ = loop_.every(TimeoutCheckPeriod, [this] { checkConnections(); });
         return success();
     }
 
@@ -76,7 +76,7 @@
 
     void disableKeepAlive() override
     {
-        state_->closing = true;
+        state_->keepAliveDisabled = true;
     }
 
     void stopReading() override
@@ -103,7 +103,7 @@
     }
 
 private:
-    void acceptAll()
+    void acceptConnections()
     {
         for (int i = 0; i < AcceptBatch; i++) {
             const int descriptor = ::accept4(descriptor_, nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC);
@@ -119,27 +119,27 @@
         }
     }
 
-    // Freed by the loop: it may be running code of its own now.
-    void forget(ServerConnection *connection)
+    // Destroyed by the loop later, as this may be called from a member function of the connection.
+    void removeConnection(ServerConnection *connection)
     {
         const auto found = connections_.find(connection);
         if (found == connections_.end()) {
             return;
         }
-        loop_.post([dying = std::move(found->second)] {});
+        loop_.post([removed = std::move(found->second)] {});
         connections_.erase(found);
     }
 
-    void sweep()
+    void checkConnections()
     {
-        std::vector<std::shared_ptr<ServerConnection>> all;
-        all.reserve(connections_.size());
+        std::vector<std::shared_ptr<ServerConnection>> connections;
+        connections.reserve(connections_.size());
         for (const auto &[key, connection] : connections_) {
-            all.push_back(connection);
+            connections.push_back(connection);
         }
         const TimePoint now = loop_.now();
-        for (const auto &connection : all) {
-            connection->checkTime(now);
+        for (const auto &connection : connections) {
+            connection->checkTimeouts(now);
         }
     }
 
@@ -148,7 +148,7 @@
     ev_io watcher_{};
     int descriptor_ = -1;
     std::uint16_t port_ = 0;
-    TimerId sweepTimer_ = 0;
+    TimerId timeoutCheckTimer_ = 0;
     std::unordered_map<ServerConnection *, std::shared_ptr<ServerConnection>> connections_;
 };
 
--- a/src/http1/internal/messagereader.cpp
+++ b/src/http1/internal/messagereader.cpp
@@ -19,7 +19,7 @@
     return {text.data(), text.size()};
 }
 
-/// What both kinds of message share: Beast's parser with its callbacks filling plain fields.
+/// Beast's parser for requests or responses. Its callbacks store the parsed parts in plain members.
 template<bool isRequest>
 class Parser : public beast::http::basic_parser<isRequest>
 {
@@ -27,7 +27,7 @@
     RequestHead request;
     ResponseHead response;
     std::string body;
-    bool badCoding = false;
+    bool hasUnsupportedCoding = false;
 
     Fields &fields()
     {
@@ -52,7 +52,7 @@
     void on_field_impl(beast::http::field name, string_view nameText, string_view value, error_code &) override
     {
         if (name == beast::http::field::transfer_encoding && !equalsIgnoreCase(toView(value), "chunked")) {
-            badCoding = true;
+            hasUnsupportedCoding = true;
         }
         fields().add(toView(nameText), toView(value));
     }
@@ -86,7 +86,7 @@
     }
 };
 
-/// Implements the common half of a reader over Parser.
+/// The part of a reader that is the same for requests and responses.
 template<bool isRequest, class Base>
 class ReaderImpl : public Base
 {
@@ -105,18 +105,18 @@
         }
         started_ = true;
         if (pending_.empty()) {
-            const std::size_t used = put(bytes);
-            if (needsMore()) {
+            const std::size_t used = parse(bytes);
+            if (needsMoreBytes()) {
                 pending_ = bytes.substr(used);
                 return bytes.size();
             }
             return used;
         }
-        // NOTE Beast wants what it has not used yet again, together with what follows.
+        // NOTE Beast expects the bytes that it has not consumed to be passed again, followed by the new ones.
         const std::size_t before = pending_.size();
         pending_ += bytes;
-        const std::size_t used = put(pending_);
-        if (needsMore()) {
+        const std::size_t used = parse(pending_);
+        if (needsMoreBytes()) {
             pending_.erase(0, used);
             return bytes.size();
         }
@@ -174,12 +174,12 @@
     Parser<isRequest> parser_;
 
 private:
-    bool needsMore() const
+    bool needsMoreBytes() const
     {
         return error_ == ReadError::None && !parser_.is_done();
     }
 
-    std::size_t put(std::string_view bytes)
+    std::size_t parse(std::string_view bytes)
     {
         std::size_t used = 0;
         while (used < bytes.size() && error_ == ReadError::None && !parser_.is_done()) {
@@ -190,7 +190,7 @@
                 break;
             }
             if (code) {
-                error_ = errorOf(code);
+                error_ = toReadError(code);
                 break;
             }
             if (parser_.is_header_done()) {
@@ -206,13 +206,13 @@
     void checkHead()
     {
         const bool hasOneHost = !isRequest || parser_.request.fields.count("Host") == 1;
-        const bool hasBadMethod = isRequest && (parser_.request.method == "CONNECT" || parser_.request.target.empty());
-        if (parser_.badCoding || !hasOneHost || hasBadMethod || parser_.upgrade()) {
+        const bool hasBadRequestLine = isRequest && (parser_.request.method == "CONNECT" || parser_.request.target.empty());
+        if (parser_.hasUnsupportedCoding || !hasOneHost || hasBadRequestLine || parser_.upgrade()) {
             error_ = ReadError::Malformed;
         }
     }
 
-    static ReadError errorOf(const error_code &code)
+    static ReadError toReadError(const error_code &code)
     {
         if (code == beast::http::error::header_limit) {
             return ReadError::HeaderTooLarge;
@@ -220,7 +220,7 @@
         return code == beast::http::error::body_limit ? ReadError::BodyTooLarge : ReadError::Malformed;
     }
 
-    std::string pending_; ///< Bytes that Beast could not use alone.
+    std::string pending_; ///< Bytes that Beast can consume only together with those that follow.
     ReadError error_ = ReadError::None;
     bool started_ = false;
 };
--- a/src/http1/internal/serverconnection.cpp
+++ b/src/http1/internal/serverconnection.cpp
@@ -6,12 +6,13 @@
 
 namespace {
 
-/// Bytes of following requests that are read ahead while one is answered; beyond it the socket is not read.
-constexpr std::size_t WaitingBytes = 65536;
-/// How long a connection is read on after its last answer, so that closing it does not destroy that answer on its way.
+/// Bytes of further requests that are read ahead while one is answered; above it, reading is paused.
+constexpr std::size_t MaxPipelinedBytes = 65536;
+/// How long a connection is still read after its last response: closing it with unread bytes would send a reset, which may
+/// destroy the response on its way.
 constexpr Duration LingerTime = std::chrono::seconds(2);
-/// A caller that takes no answer byte for this long is gone, though its connection still stands.
-constexpr Duration CallerUnacked = std::chrono::seconds(10);
+/// A client that acknowledges no response bytes for this long counts as disconnected, although its connection is still open.
+constexpr Duration UnackedTimeout = std::chrono::seconds(10);
 
 constexpr int StatusBadRequest = 400;
 constexpr int StatusTimeout = 408;
@@ -19,7 +20,7 @@
 constexpr int StatusHeaderTooLarge = 431;
 constexpr int StatusUnavailable = 503;
 
-int statusOf(ReadError error)
+int statusFor(ReadError error)
 {
     switch (error) {
     case ReadError::HeaderTooLarge:
@@ -35,7 +36,7 @@
 
 ServerConnection::ServerConnection(std::shared_ptr<ServerState> server)
     : server_(std::move(server))
-    , lastByteAt_(server_->loop->now())
+    , lastReceivedAt_(server_->loop->now())
 {
 }
 
@@ -51,14 +52,14 @@
         raw->onEnd();
     };
     SocketOptions options;
-    options.unackedTimeout = CallerUnacked;
+    options.unackedTimeout = UnackedTimeout;
     connection->socket_ = Socket::adopt(*raw->server_->loop, descriptor, options, std::move(handlers));
     return connection;
 }
 
 ServerConnection::~ServerConnection()
 {
-    dropRequest();
+    releaseRequest();
     if (socket_) {
         socket_->close();
     }
@@ -81,18 +82,18 @@
 
 void ServerConnection::onDisconnected(std::function<void()> handler)
 {
-    gone_ = std::move(handler);
+    onDisconnected_ = std::move(handler);
 }
 
 void ServerConnection::onData(std::string_view bytes)
 {
-    lastByteAt_ = server_->loop->now();
+    lastReceivedAt_ = server_->loop->now();
     if (phase_ == Phase::Lingering || phase_ == Phase::Ended) {
         return;
     }
     if (phase_ == Phase::Answering) {
-        waiting_ += bytes;
-        if (waiting_.size() > WaitingBytes) {
+        pipelinedBytes_ += bytes;
+        if (pipelinedBytes_.size() > MaxPipelinedBytes) {
             socket_->setReading(false);
         }
         return;
@@ -108,7 +109,7 @@
     reader_ = RequestReader::create(server_->limits.read);
     continueSent_ = false;
     headSent_ = false;
-    closeAfter_ = false;
+    closeAfterResponse_ = false;
     server_->openExchanges++;
 }
 
@@ -119,25 +120,25 @@
     }
     const std::size_t used = reader_->feed(bytes);
     std::string part = reader_->takeBody();
-    server_->bodyBytesHeld += part.size();
+    server_->bufferedBodyBytes += part.size();
     body_ += part;
     if (reader_->error() != ReadError::None) {
-        reject(statusOf(reader_->error()));
+        reject(statusFor(reader_->error()));
         return;
     }
-    if (server_->bodyBytesHeld > server_->limits.maxBufferedBodyBytes) {
+    if (server_->bufferedBodyBytes > server_->limits.maxBufferedBodyBytes) {
         reject(StatusUnavailable);
         return;
     }
     if (!reader_->isComplete()) {
-        continueIfAsked();
+        sendContinueIfExpected();
         return;
     }
-    waiting_ += bytes.substr(used);
-    onRequestRead();
+    pipelinedBytes_ += bytes.substr(used);
+    onRequestComplete();
 }
 
-void ServerConnection::continueIfAsked()
+void ServerConnection::sendContinueIfExpected()
 {
     if (continueSent_ || !reader_->isHeadComplete() || !equalsIgnoreCase(reader_->head().fields.get("Expect"), "100-continue")) {
         return;
@@ -146,17 +147,17 @@
     socket_->write("HTTP/1.1 100 Continue\r\n\r\n");
 }
 
-void ServerConnection::onRequestRead()
+void ServerConnection::onRequestComplete()
 {
     phase_ = Phase::Answering;
-    closeAfter_ = !reader_->keepsAlive();
+    closeAfterResponse_ = !reader_->keepsAlive();
     server_->handlers.onRequest(shared_from_this());
 }
 
 void ServerConnection::reject(int status)
 {
     phase_ = Phase::Answering;
-    closeAfter_ = true;
+    closeAfterResponse_ = true;
     server_->handlers.onRejected(status);
     ResponseHead head;
     head.status = status;
@@ -172,13 +173,13 @@
         return;
     }
     headSent_ = true;
-    closeAfter_ = closeAfter_ || server_->closing;
-    std::string bytes = encodeHead(head, Framing::Length, body.size(), closeAfter_);
+    closeAfterResponse_ = closeAfterResponse_ || server_->keepAliveDisabled;
+    std::string bytes = encodeHead(head, Framing::Length, body.size(), closeAfterResponse_);
     if (!reader_->isHeadComplete() || reader_->head().method != "HEAD") {
         bytes += body;
     }
     socket_->write(bytes);
-    finishAnswer();
+    finishResponse();
 }
 
 void ServerConnection::begin(ResponseHead head)
@@ -187,8 +188,8 @@
         return;
     }
     headSent_ = true;
-    closeAfter_ = closeAfter_ || server_->closing;
-    socket_->write(encodeHead(head, Framing::Chunked, 0, closeAfter_));
+    closeAfterResponse_ = closeAfterResponse_ || server_->keepAliveDisabled;
+    socket_->write(encodeHead(head, Framing::Chunked, 0, closeAfterResponse_));
 }
 
 void ServerConnection::send(std::string_view part)
@@ -208,7 +209,7 @@
         return;
     }
     socket_->write(LastChunk);
-    finishAnswer();
+    finishResponse();
 }
 
 void ServerConnection::abort()
@@ -216,39 +217,39 @@
     if (phase_ != Phase::Answering) {
         return;
     }
-    gone_ = nullptr;
-    closeNow();
+    onDisconnected_ = nullptr;
+    closeConnection();
 }
 
-void ServerConnection::finishAnswer()
+void ServerConnection::finishResponse()
 {
     const auto self = shared_from_this();
-    dropRequest();
-    if (closeAfter_) {
+    releaseRequest();
+    if (closeAfterResponse_) {
         startLingering();
         return;
     }
     phase_ = Phase::Idle;
     socket_->setReading(true);
-    if (waiting_.empty()) {
+    if (pipelinedBytes_.empty()) {
         return;
     }
-    // NOTE Not from here: a handler that answers at once would recurse once for each request that waits.
+    // NOTE Posted to the loop, as a handler that answers at once would otherwise recurse once per pipelined request.
     server_->loop->post([weak = weak_from_this()] {
         const auto connection = weak.lock();
         if (!connection || connection->phase_ != Phase::Idle) {
             return;
         }
-        connection->readRequest(std::exchange(connection->waiting_, {}));
+        connection->readRequest(std::exchange(connection->pipelinedBytes_, {}));
     });
 }
 
 void ServerConnection::startLingering()
 {
     phase_ = Phase::Lingering;
-    lastByteAt_ = server_->loop->now();
-    startedAt_ = lastByteAt_;
-    waiting_.clear();
+    lastReceivedAt_ = server_->loop->now();
+    startedAt_ = lastReceivedAt_;
+    pipelinedBytes_.clear();
     socket_->shutdownAfterWrite();
     socket_->setReading(true);
 }
@@ -256,32 +257,32 @@
 void ServerConnection::onEnd()
 {
     const auto self = shared_from_this();
-    const auto gone = std::exchange(gone_, nullptr);
+    const auto handler = std::exchange(onDisconnected_, nullptr);
     const bool wasAnswering = phase_ == Phase::Answering;
-    closeNow();
-    if (wasAnswering && gone) {
-        gone();
+    closeConnection();
+    if (wasAnswering && handler) {
+        handler();
     }
 }
 
-void ServerConnection::closeNow()
+void ServerConnection::closeConnection()
 {
     const auto self = shared_from_this();
-    dropRequest();
+    releaseRequest();
     phase_ = Phase::Ended;
     socket_->close();
-    server_->forget(this);
+    server_->removeConnection(this);
 }
 
-void ServerConnection::dropRequest()
+void ServerConnection::releaseRequest()
 {
     if (phase_ == Phase::Reading || phase_ == Phase::Answering) {
         server_->openExchanges--;
     }
-    server_->bodyBytesHeld -= body_.size();
+    server_->bufferedBodyBytes -= body_.size();
     body_.clear();
     body_.shrink_to_fit();
-    gone_ = nullptr;
+    onDisconnected_ = nullptr;
 }
 
 void ServerConnection::stopReading()
@@ -289,24 +290,24 @@
     socket_->setReading(false);
 }
 
-void ServerConnection::checkTime(TimePoint now)
+void ServerConnection::checkTimeouts(TimePoint now)
 {
     const auto self = shared_from_this();
-    const Duration silent = now - lastByteAt_;
+    const Duration silence = now - lastReceivedAt_;
     switch (phase_) {
     case Phase::Idle:
-        if (silent > server_->limits.idleTimeout) {
-            closeNow();
+        if (silence > server_->limits.idleTimeout) {
+            closeConnection();
         }
         return;
     case Phase::Reading:
-        if (!reader_->isHeadComplete() ? now - startedAt_ > server_->limits.headerTimeout : silent > server_->limits.idleTimeout) {
+        if (!reader_->isHeadComplete() ? now - startedAt_ > server_->limits.headerTimeout : silence > server_->limits.idleTimeout) {
             reject(StatusTimeout);
         }
         return;
     case Phase::Lingering:
-        if (now - startedAt_ > LingerTime && (socket_->unsentBytes() == 0 || now - startedAt_ > CallerUnacked)) {
-            closeNow();
+        if (now - startedAt_ > LingerTime && (socket_->unsentBytes() == 0 || now - startedAt_ > UnackedTimeout)) {
+            closeConnection();
         }
         return;
     default:
--- a/src/http1/internal/serverconnection.h
+++ b/src/http1/internal/serverconnection.h
@@ -7,19 +7,19 @@
 
 class ServerConnection;
 
-/// What all connections of one server share.
+/// State shared by all connections of one server.
 struct ServerState {
     EventLoop *loop = nullptr;
     ServerLimits limits;
     ServerHandlers handlers;
-    bool closing = false;
+    bool keepAliveDisabled = false;
     std::size_t openExchanges = 0;
-    std::size_t bodyBytesHeld = 0;
-    /// Forgets a connection that has ended.
-    std::function<void(ServerConnection *connection)> forget;
+    std::size_t bufferedBodyBytes = 0;
+    /// Removes a closed connection from the server.
+    std::function<void(ServerConnection *connection)> removeConnection;
 };
 
-/// One connection of a caller. It is the exchange of the request that it reads or answers.
+/// One client connection. It implements the exchange of the request that it is reading or answering.
 class ServerConnection : public Exchange, public std::enable_shared_from_this<ServerConnection>
 {
 public:
@@ -36,8 +36,8 @@
     void end() override;
     void abort() override;
 
-    /// Ends the connection if it has been silent, or slow, for too long.
-    void checkTime(TimePoint now);
+    /// Rejects a request that is received too slowly, and closes a connection that has been idle or lingering for too long.
+    void checkTimeouts(TimePoint now);
     void stopReading();
 
 private:
@@ -48,25 +48,25 @@
     void onEnd();
     void readRequest(std::string_view bytes);
     void startRequest();
-    void continueIfAsked();
-    void onRequestRead();
+    void sendContinueIfExpected();
+    void onRequestComplete();
     void reject(int status);
-    void finishAnswer();
+    void finishResponse();
     void startLingering();
-    void closeNow();
-    void dropRequest();
+    void closeConnection();
+    void releaseRequest();
     std::shared_ptr<ServerState> server_;
     std::shared_ptr<Socket> socket_;
     Phase phase_ = Phase::Idle;
     std::unique_ptr<RequestReader> reader_;
     std::string body_;
-    std::string waiting_; ///< Bytes behind the request that is being answered.
-    TimePoint startedAt_;
-    TimePoint lastByteAt_;
+    std::string pipelinedBytes_; ///< Bytes received after the request that is being answered.
+    TimePoint startedAt_; ///< Of the request, or of lingering.
+    TimePoint lastReceivedAt_;
     bool continueSent_ = false;
-    bool closeAfter_ = false;
+    bool closeAfterResponse_ = false;
     bool headSent_ = false;
-    std::function<void()> gone_;
+    std::function<void()> onDisconnected_;
 };
 
 } // namespace cardamomlift::http1
--- a/src/http1/internal/socket.cpp
+++ b/src/http1/internal/socket.cpp
@@ -14,9 +14,9 @@
 
 namespace {
 
-/// Read at once; larger answers take several rounds, so that one connection does not hold up the others.
-constexpr std::size_t ReadBytes = 65536;
-/// Probes that may stay unanswered before the system ends an idle connection.
+/// Bytes per read. Larger messages take several rounds of the loop, so that one connection does not delay the others.
+constexpr std::size_t ReadBufferBytes = 65536;
+/// Unanswered probes after which the system ends an idle connection.
 constexpr int KeepAliveProbes = 2;
 constexpr int KeepAliveIntervalSeconds = 1;
 
@@ -60,7 +60,7 @@
     std::shared_ptr<Socket> socket(new Socket(loop, std::move(handlers)));
     const int descriptor = ::socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
     if (descriptor < 0) {
-        socket->endSoon(SocketEnd::Reset);
+        socket->postEnd(SocketEnd::Reset);
         return socket;
     }
     sockaddr_in address{};
@@ -71,7 +71,7 @@
     const int result = ::connect(descriptor, reinterpret_cast<const sockaddr *>(&address), sizeof address);
     if (result != 0 && errno != EINPROGRESS) {
         ::close(descriptor);
-        socket->endSoon(SocketEnd::Reset);
+        socket->postEnd(SocketEnd::Reset);
         return socket;
     }
     socket->open(descriptor, options);
@@ -97,10 +97,10 @@
     watcher_.data = this;
     ev_io_init(
         &watcher_, [](struct ev_loop *, ev_io *watcher, int events) { static_cast<Socket *>(watcher->data)->onReady(events); }, descriptor, 0);
-    watch();
+    updateWatcher();
 }
 
-void Socket::watch()
+void Socket::updateWatcher()
 {
     if (descriptor_ < 0) {
         return;
@@ -130,7 +130,7 @@
     if ((events & EV_READ) != 0 && descriptor_ >= 0) {
         readAvailable();
     }
-    watch();
+    updateWatcher();
 }
 
 void Socket::finishConnect()
@@ -147,13 +147,13 @@
         handlers_.onConnected();
     }
     if (descriptor_ >= 0 && flush()) {
-        watch();
+        updateWatcher();
     }
 }
 
 void Socket::readAvailable()
 {
-    static thread_local std::array<char, ReadBytes> buffer;
+    static thread_local std::array<char, ReadBufferBytes> buffer;
     const ssize_t count = ::recv(descriptor_, buffer.data(), buffer.size(), 0);
     if (count > 0) {
         handlers_.onData(std::string_view(buffer.data(), static_cast<std::size_t>(count)));
@@ -178,11 +178,11 @@
         return;
     }
     if (flush()) {
-        watch();
+        updateWatcher();
     }
 }
 
-// Sends what it can. False if the connection has ended over it.
+// Sends what the system accepts. False if the connection has ended meanwhile.
 bool Socket::flush()
 {
     while (descriptor_ >= 0 && outputSent_ < output_.size()) {
@@ -195,7 +195,7 @@
         if (wouldBlock()) {
             break;
         }
-        endSoon(SocketEnd::Reset);
+        postEnd(SocketEnd::Reset);
         return false;
     }
     if (outputSent_ < output_.size() || output_.empty()) {
@@ -203,7 +203,7 @@
     }
     output_.clear();
     outputSent_ = 0;
-    if (shutdownWanted_) {
+    if (shutdownPending_) {
         ::shutdown(descriptor_, SHUT_WR);
     }
     if (handlers_.onDrained) {
@@ -230,12 +230,12 @@
 void Socket::setReading(bool on)
 {
     reading_ = on;
-    watch();
+    updateWatcher();
 }
 
 void Socket::shutdownAfterWrite()
 {
-    shutdownWanted_ = true;
+    shutdownPending_ = true;
     if (descriptor_ >= 0 && !connecting_ && output_.empty()) {
         ::shutdown(descriptor_, SHUT_WR);
     }
@@ -244,10 +244,10 @@
 void Socket::close()
 {
     ended_ = true;
-    release();
+    closeDescriptor();
 }
 
-void Socket::release()
+void Socket::closeDescriptor()
 {
     if (descriptor_ < 0) {
         return;
@@ -260,15 +260,15 @@
 void Socket::end(SocketEnd end)
 {
     const auto self = shared_from_this();
-    release();
+    closeDescriptor();
     if (std::exchange(ended_, true)) {
         return;
     }
     handlers_.onEnd(end);
 }
 
-// Writers do not expect their handlers to be called from inside write().
-void Socket::endSoon(SocketEnd end)
+// Calls end() from the loop, as callers of write() do not expect onEnd to be called before write() returns.
+void Socket::postEnd(SocketEnd end)
 {
     if (descriptor_ >= 0) {
         ev_io_stop(loop_.raw(), &watcher_);
--- a/src/http1/messagereader.h
+++ b/src/http1/messagereader.h
@@ -6,43 +6,43 @@
 
 namespace cardamomlift::http1 {
 
-/// Bounds of a message that is read.
+/// Size limits of a received message.
 struct ReadLimits {
     std::size_t headerBytes = 16384;
     std::size_t bodyBytes = 4194304;
 };
 
-/// Why a message can't be read.
+/// Why a message was rejected.
 enum class ReadError {
     None,
-    Malformed, ///< Not HTTP/1.1, or its length can be understood in more than one way.
+    Malformed, ///< Not valid HTTP/1.1 or HTTP/1.0, its length or host is ambiguous, or it uses CONNECT or a protocol upgrade.
     HeaderTooLarge,
     BodyTooLarge,
-    Truncated, ///< The connection ended inside the message.
+    Truncated, ///< The connection ended before the message was complete.
 };
 
-/// Reads one message from the bytes of a connection as they arrive. Boost.Beast parses; what Beast lets through although it
-/// can be understood in two ways (unknown codings, no Host or two) is rejected here.
+/// Parses one message incrementally, as its bytes arrive. Boost.Beast does the parsing; ambiguous messages that Beast accepts
+/// (unknown transfer codings; requests with no Host field or several) are rejected here.
 class MessageReader
 {
 public:
     virtual ~MessageReader() = default;
-    /// Takes bytes and returns how many belong to the message. After an error or the end it takes none.
+    /// Consumes bytes and returns how many belong to the message: none after an error or the end of the message.
     virtual std::size_t feed(std::string_view bytes) = 0;
-    /// The connection has ended cleanly: a body without a length is complete now, any other is truncated.
+    /// To be called when the peer has closed the connection in order. Completes a body that ends with the connection; any other
+    /// incomplete message is truncated.
     virtual void finish() = 0;
     virtual bool isHeadComplete() const = 0;
     virtual bool isComplete() const = 0;
     virtual ReadError error() const = 0;
-    /// True once any byte was taken.
+    /// True once any byte was consumed.
     virtual bool hasStarted() const = 0;
-    /// Body bytes read since the last call.
+    /// Returns and removes the body bytes received since the last call.
     virtual std::string takeBody() = 0;
     /// True if the sender keeps the connection open after this message.
     virtual bool keepsAlive() const = 0;
 };
 
-/// Reads a request.
 class RequestReader : public MessageReader
 {
 public:
@@ -50,11 +50,10 @@
     virtual RequestHead &head() = 0;
 };
 
-/// Reads a response.
 class ResponseReader : public MessageReader
 {
 public:
-    /// @p isHead: the answer to a HEAD request, which has no body whatever its fields say.
+    /// @p isHead: the request was HEAD, so the response has no body whatever its fields say.
     static std::unique_ptr<ResponseReader> create(const ReadLimits &limits, bool isHead);
     virtual ResponseHead &head() = 0;
 };
--- a/src/http1/socket.h
+++ b/src/http1/socket.h
@@ -14,65 +14,65 @@
 
 /// How a connection ended.
 enum class SocketEnd {
-    Closed, ///< The other side closed in order.
-    Reset, ///< Reset, refused or timed out by the system.
+    Closed, ///< The peer closed the connection in order.
+    Reset, ///< The connection was reset, refused or timed out, or the socket failed.
 };
 
-/// How connections treat silence.
+/// TCP options that detect an unresponsive peer.
 struct SocketOptions {
-    /// Sent bytes that stay unacknowledged this long end the connection (TCP_USER_TIMEOUT). 0: the system's own bound.
+    /// The connection ends if sent bytes stay unacknowledged this long (TCP_USER_TIMEOUT). 0: the system's default.
     Duration unackedTimeout{0};
-    /// An idle connection is probed after this long, and ends after two unanswered probes. 0: no probes.
+    /// An idle connection is probed after this long, and ends after two unanswered probes (TCP keep-alive). 0: no probes.
     Duration keepAlive{0};
 };
 
 class Socket;
 
-/// What a socket tells its owner. Any of them may close the socket.
+/// Callbacks of a socket. Any of them may close the socket.
 struct SocketHandlers {
     std::function<void()> onConnected;
     std::function<void(std::string_view bytes)> onData;
     std::function<void(SocketEnd end)> onEnd; ///< Called once, never after close().
-    std::function<void()> onDrained; ///< All that was written has left; may be empty.
+    std::function<void()> onDrained; ///< All written bytes were passed to the system. May be unset.
 };
 
-/// A non-blocking TCP connection on the loop, with one queue of bytes to send.
+/// A non-blocking TCP connection on the event loop, with a send buffer.
 class Socket : public std::enable_shared_from_this<Socket>
 {
 public:
-    /// Starts to connect; the outcome comes through @p handlers, never from inside the call.
+    /// Starts to connect. The outcome is reported through @p handlers, never before connect() has returned.
     static std::shared_ptr<Socket> connect(EventLoop &loop, const Endpoint &to, const SocketOptions &options, SocketHandlers handlers);
-    /// Takes over an accepted descriptor.
+    /// Takes ownership of the descriptor of an accepted connection.
     static std::shared_ptr<Socket> adopt(EventLoop &loop, int descriptor, const SocketOptions &options, SocketHandlers handlers);
     ~Socket();
     Socket(const Socket &) = delete;
     Socket &operator=(const Socket &) = delete;
 
-    /// Sends @p bytes, now as far as the system takes them.
+    /// Sends as many bytes as the system accepts now and buffers the rest.
     void write(std::string_view bytes);
-    /// Bytes that wait to be sent.
+    /// Buffered bytes that the system has not accepted yet.
     std::size_t unsentBytes() const;
-    /// True once a byte may have left this machine.
+    /// True once the system has accepted a byte, which may thus have left this machine.
     bool hasSent() const;
     bool isOpen() const;
-    /// Stops or goes on reading. A socket that does not read sees no end either.
+    /// Pauses or resumes reading. While reading is paused, a close by the peer is not noticed either.
     void setReading(bool on);
-    /// Sends what waits, then ends the sending direction.
+    /// Sends the buffered bytes, then shuts down the sending direction.
     void shutdownAfterWrite();
-    /// Ends the connection at once; no handler is called any more.
+    /// Closes the connection at once. No handler is called after that.
     void close();
 
 private:
     explicit Socket(EventLoop &loop, SocketHandlers handlers);
     void open(int descriptor, const SocketOptions &options);
-    void watch();
+    void updateWatcher();
     void onReady(int events);
     void finishConnect();
     void readAvailable();
     bool flush();
-    void release();
+    void closeDescriptor();
     void end(SocketEnd end);
-    void endSoon(SocketEnd end);
+    void postEnd(SocketEnd end);
     EventLoop &loop_;
     SocketHandlers handlers_;
     ev_io watcher_{};
@@ -80,10 +80,10 @@
     bool connecting_ = false;
     bool reading_ = true;
     bool sent_ = false;
-    bool ended_ = false; ///< onEnd was called, or the owner closed.
-    bool shutdownWanted_ = false;
+    bool ended_ = false; ///< onEnd was called, or the owner called close().
+    bool shutdownPending_ = false;
     std::string output_;
-    std::size_t outputSent_ = 0; ///< Of output_.
+    std::size_t outputSent_ = 0; ///< Bytes of output_ that the system has accepted.
 };
 
 } // namespace cardamomlift::http1
