--- a/src/http1/tests/backendchannel_test.cpp
+++ b/src/http1/tests/backendchannel_test.cpp
@@ -11,7 +11,7 @@
 constexpr std::size_t LargeBody = 32u << 20;
 constexpr char Request[] = "GET / HTTP/1.1\r\nHost: a\r\n\r\n";
 
-/// A server socket that the test speaks for, byte by byte.
+/// A channel to a listening socket on which the test sends the raw bytes of the server.
 class BackendChannelTest : public LoopTest
 {
 protected:
@@ -30,7 +30,7 @@
 
     ~BackendChannelTest() override
     {
-        endPeer(false);
+        closePeer(false);
         ::close(listener_);
     }
 
@@ -65,23 +65,23 @@
         channel_->call(request, false, std::move(handlers));
     }
 
-    void say(const std::string &bytes) const
+    void sendFromServer(const std::string &bytes) const
     {
         EXPECT_EQ(::send(peer_, bytes.data(), bytes.size(), MSG_NOSIGNAL), static_cast<ssize_t>(bytes.size()));
     }
 
-    void endPeer(bool withReset)
+    void closePeer(bool withReset)
     {
         if (peer_ < 0) {
             return;
         }
-        // Unread bytes would turn a clean end into a reset.
+        // Closing a socket with unread bytes would always reset the connection.
         char buffer[4096];
         while (::recv(peer_, buffer, sizeof buffer, MSG_DONTWAIT) > 0) {
         }
-        const linger hard{1, 0};
+        const linger abortive{1, 0};
         if (withReset) {
-            setsockopt(peer_, SOL_SOCKET, SO_LINGER, &hard, sizeof hard);
+            setsockopt(peer_, SOL_SOCKET, SO_LINGER, &abortive, sizeof abortive);
         }
         ::close(peer_);
         peer_ = -1;
@@ -102,66 +102,66 @@
     connect();
     for (const std::string text : {"one", "two"}) {
         call();
-        say("HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\n" + text);
+        sendFromServer("HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\n" + text);
         ASSERT_TRUE(runUntil([&] { return completed_; }));
         EXPECT_EQ(body_, text);
         EXPECT_TRUE(channel_->isReusable());
     }
 }
 
-TEST_F(BackendChannelTest, SkipsALateAnswerToAnEarlierRequest)
+TEST_F(BackendChannelTest, DiscardsALateResponseToAnEarlierRequest)
 {
     connect();
     call();
-    say("HTTP/1.1 200 OK\r\nX-Id: other\r\nContent-Length: 3\r\n\r\noldHTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nnew");
+    sendFromServer("HTTP/1.1 200 OK\r\nX-Id: other\r\nContent-Length: 3\r\n\r\noldHTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nnew");
     ASSERT_TRUE(runUntil([&] { return completed_; }));
     EXPECT_EQ(body_, "new");
 }
 
-TEST_F(BackendChannelTest, IsNotUsedAgainAfterExtraBytes)
+TEST_F(BackendChannelTest, IsNotReusableAfterExtraBytes)
 {
     connect();
     call();
-    say("HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\noneHTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\ntwo");
+    sendFromServer("HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\noneHTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\ntwo");
     ASSERT_TRUE(runUntil([&] { return completed_; }));
     EXPECT_EQ(body_, "one");
     EXPECT_FALSE(channel_->isReusable());
 }
 
-TEST_F(BackendChannelTest, ExtraBytesWhileIdleEndIt)
+TEST_F(BackendChannelTest, ExtraBytesWhileIdleCloseIt)
 {
     connect();
     call();
-    say("HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\none");
+    sendFromServer("HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\none");
     ASSERT_TRUE(runUntil([&] { return completed_; }));
     bool ended = false;
     channel_->onIdleClosed([&] { ended = true; });
-    say("HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\ntwo");
+    sendFromServer("HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\ntwo");
     ASSERT_TRUE(runUntil([&] { return ended; }));
     EXPECT_FALSE(channel_->isReusable());
 }
 
-TEST_F(BackendChannelTest, AnEarlyAnswerSpoilsItForTheNextCall)
+TEST_F(BackendChannelTest, IsNotReusableIfTheResponseCameBeforeTheWholeRequestWasSent)
 {
     connect();
-    // More than the socket buffers hold: a part is still unsent when the answer comes.
+    // More than the socket buffers hold, so that a part is still unsent when the response arrives.
     std::string body;
     body.resize(LargeBody, 'x');
     call("POST / HTTP/1.1\r\nHost: a\r\nContent-Length: " + std::to_string(LargeBody) + "\r\n\r\n" + body);
-    say("HTTP/1.1 413 Payload Too Large\r\nContent-Length: 0\r\n\r\n");
+    sendFromServer("HTTP/1.1 413 Payload Too Large\r\nContent-Length: 0\r\n\r\n");
     ASSERT_TRUE(runUntil([&] { return completed_; }));
     EXPECT_EQ(status_, 413);
     EXPECT_FALSE(channel_->isReusable());
 }
 
-TEST_F(BackendChannelTest, AnAnswerWithoutLengthEndsWithACleanCloseOnly)
+TEST_F(BackendChannelTest, AResponseWithoutLengthIsCompleteOnlyAfterAnOrderlyClose)
 {
     for (const bool withReset : {false, true}) {
         connect();
         call();
-        say("HTTP/1.1 200 OK\r\n\r\npart");
+        sendFromServer("HTTP/1.1 200 OK\r\n\r\npart");
         ASSERT_TRUE(runUntil([&] { return body_ == "part"; }));
-        endPeer(withReset);
+        closePeer(withReset);
         ASSERT_TRUE(runUntil([&] { return completed_ || failure_; }));
         EXPECT_EQ(completed_, !withReset);
     }
@@ -177,29 +177,29 @@
     EXPECT_EQ(*failure_, CallFailure::NotConnected);
 }
 
-TEST_F(BackendChannelTest, AConnectionThatEndsUnansweredMayHaveRunTheCall)
+TEST_F(BackendChannelTest, AConnectionThatEndsWithoutResponseMayHaveRunTheCall)
 {
     connect();
     call();
-    endPeer(true);
+    closePeer(true);
     ASSERT_TRUE(runUntil([&] { return failure_.has_value(); }));
     EXPECT_EQ(*failure_, CallFailure::Broken);
 }
 
-TEST_F(BackendChannelTest, KeepsToTheServersIdleTime)
+TEST_F(BackendChannelTest, ObservesTheServersKeepAliveTimeout)
 {
     connect();
     call();
-    say("HTTP/1.1 200 OK\r\nKeep-Alive: timeout=0\r\nContent-Length: 0\r\n\r\n");
+    sendFromServer("HTTP/1.1 200 OK\r\nKeep-Alive: timeout=0\r\nContent-Length: 0\r\n\r\n");
     ASSERT_TRUE(runUntil([&] { return completed_; }));
     EXPECT_FALSE(channel_->isReusable());
 }
 
-TEST_F(BackendChannelTest, BytesThatAreNoResponseBreakTheCall)
+TEST_F(BackendChannelTest, BytesThatAreNotAResponseBreakTheCall)
 {
     connect();
     call();
-    say("nonsense\r\n\r\n");
+    sendFromServer("nonsense\r\n\r\n");
     ASSERT_TRUE(runUntil([&] { return failure_.has_value(); }));
     EXPECT_EQ(*failure_, CallFailure::Broken);
 }
--- a/src/http1/tests/httpserver_test.cpp
+++ b/src/http1/tests/httpserver_test.cpp
@@ -5,7 +5,7 @@
 
 namespace {
 
-/// A server whose requests are kept for the test to answer.
+/// A server that collects its requests, which the test then answers.
 class HttpServerTest : public LoopTest
 {
 protected:
@@ -46,7 +46,7 @@
     ASSERT_TRUE(runUntil([&] { return hasRequests(1); }));
     EXPECT_EQ(exchanges_[0]->head().target, "/1");
     loop_->runDue();
-    EXPECT_EQ(exchanges_.size(), 1U) << "the second waits for the first answer";
+    EXPECT_EQ(exchanges_.size(), 1U) << "the second request waits until the first is answered";
     exchanges_[0]->answer(ok(), "one");
     ASSERT_TRUE(runUntil([&] { return hasRequests(2); }));
     EXPECT_EQ(exchanges_[1]->head().target, "/2");
@@ -67,7 +67,7 @@
     EXPECT_EQ(exchanges_.size(), 1U);
 }
 
-TEST_F(HttpServerTest, WhatCanBeReadInTwoWaysClosesTheConnection)
+TEST_F(HttpServerTest, ARequestWithAmbiguousLengthClosesTheConnection)
 {
     RawClient client(server_->port());
     client.send("POST /1 HTTP/1.1\r\nHost: a\r\nContent-Length: 5\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\nGET /hidden HTTP/1.1\r\nHost: a\r\n\r\n");
@@ -77,20 +77,20 @@
     EXPECT_TRUE(client.received().starts_with("HTTP/1.1 400"));
 }
 
-TEST_F(HttpServerTest, SeesThatTheCallerLeftWhileItWaits)
+TEST_F(HttpServerTest, NoticesAClientThatDisconnectsWhileItWaits)
 {
     RawClient client(server_->port());
     client.send("GET /1 HTTP/1.1\r\nHost: a\r\n\r\n");
     ASSERT_TRUE(runUntil([&] { return hasRequests(1); }));
-    bool gone = false;
-    exchanges_[0]->onDisconnected([&] { gone = true; });
+    bool disconnected = false;
+    exchanges_[0]->onDisconnected([&] { disconnected = true; });
     client.close();
-    ASSERT_TRUE(runUntil([&] { return gone; }));
+    ASSERT_TRUE(runUntil([&] { return disconnected; }));
     exchanges_[0]->answer(ok(), "late");
     EXPECT_EQ(server_->openExchanges(), 0U);
 }
 
-TEST_F(HttpServerTest, ABrokenOffStreamHasNoEndMark)
+TEST_F(HttpServerTest, AnAbortedResponseHasNoLastChunk)
 {
     RawClient client(server_->port());
     client.send("GET /1 HTTP/1.1\r\nHost: a\r\n\r\n");
@@ -103,7 +103,7 @@
     EXPECT_EQ(client.received().find("0\r\n\r\n"), std::string::npos);
 }
 
-TEST_F(HttpServerTest, ClosingAnswersGoOnBeingGiven)
+TEST_F(HttpServerTest, DisabledKeepAliveClosesConnectionsAfterTheirResponse)
 {
     RawClient client(server_->port());
     client.send("GET /1 HTTP/1.1\r\nHost: a\r\n\r\n");
@@ -115,10 +115,10 @@
     EXPECT_TRUE(client.received().ends_with("one"));
     RawClient second(server_->port());
     second.send("GET /2 HTTP/1.1\r\nHost: a\r\n\r\n");
-    ASSERT_TRUE(runUntil([&] { return hasRequests(2); })) << "new connections are still taken";
+    ASSERT_TRUE(runUntil([&] { return hasRequests(2); })) << "new connections are still accepted";
 }
 
-TEST_F(HttpServerTest, NothingIsReadOnceTheServerStops)
+TEST_F(HttpServerTest, NothingIsReadAfterStopReading)
 {
     RawClient kept(server_->port());
     ASSERT_TRUE(runUntil([&] { return server_->openConnections() == 1; }));
@@ -134,7 +134,7 @@
     EXPECT_EQ(server_->openConnections(), 1U);
 }
 
-TEST_F(HttpServerTest, ExpectedContinueIsGiven)
+TEST_F(HttpServerTest, SendsContinueIfExpected)
 {
     RawClient client(server_->port());
     client.send("POST /1 HTTP/1.1\r\nHost: a\r\nExpect: 100-continue\r\nContent-Length: 2\r\n\r\n");
--- a/src/http1/tests/looptest.h
+++ b/src/http1/tests/looptest.h
@@ -16,7 +16,7 @@
 
 namespace cardamomlift::http1 {
 
-/// The system's clock until it is paused; then it moves by advance() only. Before that, advance() skips time.
+/// The system clock until it is paused; from then on only advance() moves it. While it is running, advance() skips time.
 class PausableClock : public Clock
 {
 public:
@@ -50,7 +50,7 @@
     Duration skipped_{0};
 };
 
-/// Runs a loop on the real clock, unless a test pauses it, until something has happened.
+/// Runs an event loop on the real clock, unless a test pauses the clock, until a condition holds.
 class LoopTest : public testing::Test
 {
 protected:
@@ -59,25 +59,25 @@
         loop_ = std::move(EventLoop::create(clock_).value());
     }
 
-    /// Runs the loop until @p condition holds. The bound only ends a test that would never end.
+    /// Runs the loop until @p condition holds. The limit only stops a test that would otherwise never end.
     testing::AssertionResult runUntil(const std::function<bool()> &condition)
     {
-        constexpr int MostRounds = 20000;
-        for (int i = 0; i < MostRounds; i++) {
+        constexpr int MaxRounds = 20000;
+        for (int i = 0; i < MaxRounds; i++) {
             loop_->runDue();
             if (condition()) {
                 return testing::AssertionSuccess();
             }
             std::this_thread::sleep_for(std::chrono::milliseconds(1));
         }
-        return testing::AssertionFailure() << "did not happen";
+        return testing::AssertionFailure() << "the condition did not hold in time";
     }
 
     PausableClock clock_;
     std::unique_ptr<EventLoop> loop_;
 };
 
-/// A plain client socket that writes and reads raw bytes without blocking.
+/// A plain client socket that sends raw bytes, and receives them without blocking.
 class RawClient
 {
 public:
@@ -104,7 +104,7 @@
         EXPECT_EQ(::send(descriptor_, bytes.data(), bytes.size(), MSG_NOSIGNAL), static_cast<ssize_t>(bytes.size()));
     }
 
-    /// All that has come so far.
+    /// All bytes received so far.
     const std::string &received()
     {
         char buffer[4096];
@@ -118,7 +118,7 @@
         }
     }
 
-    /// True once the server has closed.
+    /// True once the server has closed the connection.
     bool hasEnded()
     {
         received();
--- a/src/http1/tests/messagereader_test.cpp
+++ b/src/http1/tests/messagereader_test.cpp
@@ -20,7 +20,7 @@
     *out << value.name;
 }
 
-/// Requests whose end can be understood in two ways, or that are not HTTP/1.1.
+/// Requests that are ambiguous, too large, unsupported (CONNECT) or not HTTP/1.1.
 class RejectedRequest : public testing::TestWithParam<RequestCase>
 {
 };
@@ -31,24 +31,24 @@
     whole->feed(GetParam().bytes);
     EXPECT_EQ(whole->error(), GetParam().error);
     EXPECT_FALSE(whole->isComplete());
-    const auto slow = RequestReader::create(Limits);
+    const auto byteByByte = RequestReader::create(Limits);
     for (const char c : GetParam().bytes) {
-        slow->feed(std::string_view(&c, 1));
+        byteByByte->feed(std::string_view(&c, 1));
     }
-    // Beast waits for the end of a line that a bare line feed does not end; the header's time limit ends that.
-    EXPECT_FALSE(slow->isHeadComplete() && slow->error() == ReadError::None);
-    EXPECT_FALSE(slow->isComplete());
+    // A bare line feed does not end a line for Beast, which then waits for more bytes; the header timeout ends such a request.
+    EXPECT_FALSE(byteByByte->isHeadComplete() && byteByByte->error() == ReadError::None);
+    EXPECT_FALSE(byteByByte->isComplete());
 }
 
-const std::string Hidden = "GET /hidden HTTP/1.1\r\nHost: a\r\n\r\n";
+const std::string SmuggledRequest = "GET /hidden HTTP/1.1\r\nHost: a\r\n\r\n";
 
 INSTANTIATE_TEST_SUITE_P(Raw,
     RejectedRequest,
     testing::Values(RequestCase{"lengthAndChunked",
-                        "POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 4\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n" + Hidden,
+                        "POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 4\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n" + SmuggledRequest,
                         ReadError::Malformed},
         RequestCase{"chunkedAndLength",
-            "POST / HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\nContent-Length: 4\r\n\r\n0\r\n\r\n" + Hidden,
+            "POST / HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\nContent-Length: 4\r\n\r\n0\r\n\r\n" + SmuggledRequest,
             ReadError::Malformed},
         RequestCase{"twoLengths", "POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 1\r\nContent-Length: 2\r\n\r\nab", ReadError::Malformed},
         RequestCase{
@@ -70,11 +70,11 @@
             "longChunks", "POST / HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\n1388\r\n" + std::string(5000, 'x'), ReadError::BodyTooLarge}),
     [](const auto &info) { return info.param.name; });
 
-TEST(RequestReader, KeepsTargetAndFieldsAsTheyCame)
+TEST(RequestReader, KeepsTargetAndFieldsUnchanged)
 {
     const auto reader = RequestReader::create(Limits);
     const std::string bytes = "POST /a%2Fb//c?q=%20 HTTP/1.1\r\nHost: a\r\nX-Own: Value,  two\r\nContent-Length: 3\r\n\r\nabc";
-    EXPECT_EQ(reader->feed(bytes + Hidden), bytes.size()) << "what follows belongs to the next request";
+    EXPECT_EQ(reader->feed(bytes + SmuggledRequest), bytes.size()) << "what follows belongs to the next request";
     ASSERT_TRUE(reader->isComplete());
     EXPECT_EQ(reader->head().target, "/a%2Fb//c?q=%20");
     EXPECT_EQ(reader->head().fields.get("x-own"), "Value,  two");
@@ -95,7 +95,7 @@
     EXPECT_EQ(body, "abcde");
 }
 
-TEST(ResponseReader, ABodyWithoutLengthIsCompleteOnlyAtACleanEnd)
+TEST(ResponseReader, ABodyWithoutLengthIsCompleteOnlyAfterAnOrderlyClose)
 {
     const auto reader = ResponseReader::create(Limits, false);
     reader->feed("HTTP/1.1 200 OK\r\n\r\npart");
@@ -106,7 +106,7 @@
     EXPECT_FALSE(reader->keepsAlive());
 }
 
-TEST(ResponseReader, AnEndInsideTheBodyIsTruncation)
+TEST(ResponseReader, AConnectionThatEndsWithinTheBodyTruncatesIt)
 {
     for (const std::string head : {"Content-Length: 10\r\n\r\npart", "Transfer-Encoding: chunked\r\n\r\n4\r\npart\r\n"}) {
         const auto reader = ResponseReader::create(Limits, false);
@@ -117,14 +117,14 @@
     }
 }
 
-TEST(ResponseReader, TheAnswerToHeadHasNoBody)
+TEST(ResponseReader, AResponseToHeadHasNoBody)
 {
     const auto reader = ResponseReader::create(Limits, true);
     reader->feed("HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\n");
     EXPECT_TRUE(reader->isComplete());
 }
 
-TEST(Fields, ConnectionFieldsAreThoseOfTheStandardAndThoseNamed)
+TEST(Fields, HopByHopFieldsAreTheStandardOnesAndThoseListedInConnection)
 {
     EXPECT_TRUE(isHopByHopField("Keep-Alive", ""));
     EXPECT_TRUE(isHopByHopField("TRANSFER-ENCODING", ""));
