--- a/src/http1/httpserver.h
+++ b/src/http1/httpserver.h
@@ -16,7 +16,7 @@
     Duration headerTimeout = std::chrono::seconds(10); ///< From the first byte of a request to the end of its header.
     Duration idleTimeout = std::chrono::seconds(60); ///< Between requests; also the longest pause within a request body.
     std::size_t maxConnections = 3000; ///< Open at once; further ones are closed when they are accepted.
-    std::size_t maxUnsentResponseBytes = 1048576; ///< Of one response sent in parts; a client that reads more slowly is disconnected.
+    std::size_t maxUnsentResponseBytes = 1048576; ///< A client that reads a response sent in parts too slowly is disconnected.
     std::size_t maxBufferedBodyBytes = 64u << 20; ///< Request bodies of all connections together.
 };
 
@@ -28,7 +28,7 @@
     virtual ~Exchange() = default;
     virtual const RequestHead &head() const = 0;
     virtual const std::string &body() const = 0;
-    /// When the first byte of the request was read.
+    /// When parsing of the request began: at its first byte, or once the request before it on the connection was answered.
     virtual TimePoint startedAt() const = 0;
     /// @p handler is called once if the client closes the connection, or is disconnected, before the response is complete.
     virtual void onDisconnected(std::function<void()> handler) = 0;
