--- a/src/gateway/chathandler.h
+++ b/src/gateway/chathandler.h
@@ -30,8 +30,8 @@
         const contract::ServiceClass &serviceClass,
         TimePoint firstTokenDeadline,
         std::uint64_t ticket);
-    void stream(const CallerRequest &caller, streams::StreamState state, std::uint64_t ticket);
-    void collect(const CallerRequest &caller, streams::StreamState state, std::uint64_t ticket);
+    void startStreamed(const CallerRequest &caller, streams::StreamState state, std::uint64_t ticket);
+    void startUnstreamed(const CallerRequest &caller, streams::StreamState state, std::uint64_t ticket);
     void releaseTicketAtEnd(const std::shared_ptr<streams::StreamSession> &session, std::uint64_t ticket);
     void endRequest(const streams::StreamSession &session, std::uint64_t ticket);
     streams::StreamObserver completionObserver(const CallerRequest &caller, const streams::StreamSession &session, std::uint64_t ticket);
--- a/src/gateway/internal/chathandler.cpp
+++ b/src/gateway/internal/chathandler.cpp
@@ -111,9 +111,9 @@
     state.prefixHash = request.prefixHash;
     state.firstTokenDeadline = firstTokenDeadline;
     if (request.stream) {
-        stream(caller, std::move(state), ticket);
+        startStreamed(caller, std::move(state), ticket);
     } else {
-        collect(caller, std::move(state), ticket);
+        startUnstreamed(caller, std::move(state), ticket);
     }
 }
 
@@ -123,7 +123,7 @@
     session->onEnded([this, raw = session.get(), ticket] { endRequest(*raw, ticket); });
 }
 
-void ChatHandler::stream(const CallerRequest &caller, streams::StreamState state, std::uint64_t ticket)
+void ChatHandler::startStreamed(const CallerRequest &caller, streams::StreamState state, std::uint64_t ticket)
 {
     const auto session = std::make_shared<std::weak_ptr<streams::StreamSession>>();
     // The request is accepted once its state is replicated. Until then nothing is sent, and a disconnect cancels the request.
@@ -145,7 +145,7 @@
     });
 }
 
-void ChatHandler::collect(const CallerRequest &caller, streams::StreamState state, std::uint64_t ticket)
+void ChatHandler::startUnstreamed(const CallerRequest &caller, streams::StreamState state, std::uint64_t ticket)
 {
     const std::string requestId = state.requestId;
     streams::SessionTools sessionTools{tools_.loop, tools_.engine, tools_.planner, tools_.metrics, tools_.members};
--- a/src/gateway/internal/servicehandler.cpp
+++ b/src/gateway/internal/servicehandler.cpp
@@ -68,7 +68,7 @@
     std::uint64_t ticket = 0;
     claims::Claim claim;
     retry::RequestRecord record;
-    TimePoint answerBy;
+    TimePoint deadline;
     bool keyLookedUp = false;
     bool ended = false;
 };
@@ -82,7 +82,7 @@
 
 std::size_t ServiceHandler::openCalls() const
 {
-    return open_;
+    return openCalls_;
 }
 
 void ServiceHandler::refuse(const std::shared_ptr<Call> &call, CallerError error)
@@ -102,7 +102,7 @@
         return;
     }
     call->ended = true;
-    open_--;
+    openCalls_--;
     if (call->ticket != 0) {
         tools_.admission->release(call->ticket, {0, 0, ran});
     }
@@ -111,7 +111,7 @@
 void ServiceHandler::handle(CallerRequest caller)
 {
     auto call = std::make_shared<Call>();
-    open_++;
+    openCalls_++;
     call->caller = std::move(caller);
     const std::string &full = call->caller.http.path;
     const auto slash = full.find('/', ServicePrefix.size());
@@ -126,7 +126,7 @@
     call->grant = *grant;
     call->serviceClass = *contract::findClass(contract, grant->serviceClass);
     const std::string_view key = http::headerValue(call->caller.http.headers, IdempotencyHeader);
-    call->answerBy = tools_.loop->now() + std::chrono::milliseconds(grant->timeoutMs);
+    call->deadline = tools_.loop->now() + std::chrono::milliseconds(grant->timeoutMs);
     if (!grant->idempotent && !isValidKey(key)) {
         refuse(call,
             {metrics::RefusalReason::MissingIdempotencyKey,
@@ -139,7 +139,7 @@
     record.route.customer = contract.customer;
     record.route.urgency = static_cast<routing::Urgency>(call->serviceClass.priority);
     record.idempotent = grant->idempotent;
-    record.deadline = call->answerBy;
+    record.deadline = call->deadline;
     record.fingerprint = suspects::fingerprintOf(contract.customer, call->service, full + call->caller.http.body);
     admission::AdmissionParameters parameters;
     parameters.contract = call->caller.contract;
@@ -172,7 +172,7 @@
     claim.key = std::string(http::headerValue(request.headers, IdempotencyHeader));
     claim.bodyHash = text::sha256Hex(request.method + " " + request.path + "\n" + request.body);
     claim.patience = std::max(MinClaimWait, Duration(std::chrono::milliseconds(call->serviceClass.waitUpToMs)));
-    claim.timeout = std::max(Duration(0), call->answerBy - tools_.loop->now());
+    claim.timeout = std::max(Duration(0), call->deadline - tools_.loop->now());
     tools_.claims->begin(std::move(claim), [this, call](claims::BeginResult result) { onClaim(call, result); });
 }
 
@@ -230,7 +230,7 @@
 
 void ServiceHandler::dispatch(const std::shared_ptr<Call> &call)
 {
-    const bool isInTime = tools_.loop->now() < call->answerBy && (call->grant.idempotent || tools_.claims->mayDispatch(call->claim));
+    const bool isInTime = tools_.loop->now() < call->deadline && (call->grant.idempotent || tools_.claims->mayDispatch(call->claim));
     if (!isInTime) {
         fail(call, {metrics::RefusalReason::DeadlineImpossible, "The call could not be sent before its deadline.", RetryAfterShort});
         return;
@@ -245,7 +245,7 @@
     request.method = call->caller.http.method;
     request.url = fmt::format("http://{}:{}{}", server->address, server->port, call->path);
     request.body = call->caller.http.body;
-    request.timeout = std::max(MinTimeout, call->answerBy - tools_.loop->now());
+    request.timeout = std::max(MinTimeout, call->deadline - tools_.loop->now());
     request.freshConnection = !call->grant.idempotent;
     request.mayResend = call->grant.idempotent;
     request.headers["X-Instance"] = server->instance;
@@ -262,17 +262,17 @@
         };
     }
     hooks.onDone = [this, call, server = *server](http::ClientResult result) {
-        onAnswer(call, server, std::move(result));
+        onResponse(call, server, std::move(result));
     };
     tools_.client->start(std::move(request), std::move(hooks));
 }
 
-void ServiceHandler::onAnswer(const std::shared_ptr<Call> &call, const membership::Vm &server, http::ClientResult result)
+void ServiceHandler::onResponse(const std::shared_ptr<Call> &call, const membership::Vm &server, http::ClientResult result)
 {
     const bool refused = isMarkedNotRun(result);
     if (result.transport == http::Transport::Completed && !refused) {
         tools_.planner->attemptEnded(call->record, server.instance, routing::AttemptEnd::Answered);
-        answer(call, result, server.instance);
+        respond(call, result, server.instance);
         return;
     }
     if (result.heldBack) {
@@ -309,7 +309,7 @@
     refuse(call, error);
 }
 
-void ServiceHandler::answer(const std::shared_ptr<Call> &call, const http::ClientResult &result, const std::string &server)
+void ServiceHandler::respond(const std::shared_ptr<Call> &call, const http::ClientResult &result, const std::string &server)
 {
     http::Response response{result.status, {}, result.body};
     const std::string contentType(http::headerValue(result.headers, "Content-Type"));
--- a/src/gateway/servicehandler.h
+++ b/src/gateway/servicehandler.h
@@ -28,11 +28,11 @@
     void dispatch(const std::shared_ptr<Call> &call);
     void fail(const std::shared_ptr<Call> &call, CallerError error);
     void followPlan(const std::shared_ptr<Call> &call, const retry::AttemptPlan &plan);
-    void onAnswer(const std::shared_ptr<Call> &call, const membership::Vm &server, http::ClientResult result);
-    void answer(const std::shared_ptr<Call> &call, const http::ClientResult &result, const std::string &server);
+    void onResponse(const std::shared_ptr<Call> &call, const membership::Vm &server, http::ClientResult result);
+    void respond(const std::shared_ptr<Call> &call, const http::ClientResult &result, const std::string &server);
     void end(const std::shared_ptr<Call> &call, bool ran);
     GatewayTools tools_;
-    std::size_t open_ = 0;
+    std::size_t openCalls_ = 0;
 };
 
 } // namespace cardamomlift::gateway
