--- a/src/engine/engineclient.h
+++ b/src/engine/engineclient.h
@@ -11,33 +11,34 @@
 
 namespace cardamomlift::engine {
 
-/// Speaks with model engines: chat completions over HTTP with server-sent events, resume and cancel by stream id, and the
-/// transfer of KV caches.
+/// Client of the model engines: chat completions over HTTP with server-sent events, resuming and cancelling a stream by its
+/// id, and the transfer of KV caches.
 class EngineClient
 {
 public:
     virtual ~EngineClient() = default;
-    /// The client that speaks HTTP.
+    /// Creates a client that reaches the engines over HTTP.
     static std::shared_ptr<EngineClient> create(std::shared_ptr<http::Client> client);
 
-    /// Starts an attempt at @p server. onEnd is called exactly once, never from inside start().
+    /// Starts an attempt at @p server. hooks.onEnd is called exactly once, never from inside start().
     virtual http::CallId start(const membership::Vm &server, const EngineRequest &request, EngineHooks hooks) = 0;
-    /// Joins the running or kept stream @p requestId of @p server at @p position (the first token wanted). Ends with
-    /// Rejected if the engine knows no such stream.
+    /// Attaches to the stream @p requestId of @p server, which is running or retained there, and reads it from token
+    /// @p position on. Ends with Rejected if the engine does not know the stream.
     virtual http::CallId resume(const membership::Vm &server, const std::string &requestId, std::uint64_t position, EngineHooks hooks) = 0;
-    /// Closes our side; the engine ends the stream at once (it is told, so that nobody pays for it).
+    /// Closes the connection and tells the engine to end the stream at once, so that no unread tokens are generated and
+    /// paid for.
     virtual void cancel(const membership::Vm &server, const std::string &requestId, http::CallId call) = 0;
-    /// Closes our side and leaves the engine's stream running, for another VM to resume.
+    /// Closes the connection but lets the stream run on at the engine, so that another VM can resume it.
     virtual void disconnect(http::CallId call) = 0;
 
-    /// The KV cache of the running stream @p requestId, as the engine gives it; empty if it can't be had, is larger than
-    /// @p limit bytes, or takes longer than @p timeout.
+    /// Downloads the KV cache of the running stream @p requestId in the engine's own format. The result is empty if the
+    /// transfer fails, exceeds @p maxBytes or takes longer than @p timeout.
     virtual void exportKv(const membership::Vm &server,
         const std::string &requestId,
-        std::size_t limit,
+        std::size_t maxBytes,
         Duration timeout,
         std::function<void(std::optional<std::string>)> done) = 0;
-    /// Gives an exported cache to @p server, for a request whose kvFrom is @p requestId.
+    /// Uploads an exported cache to @p server, for a request whose kvFrom is @p requestId.
     virtual void importKv(
         const membership::Vm &server, const std::string &requestId, std::string cache, Duration timeout, std::function<void(bool accepted)> done) = 0;
 };
--- a/src/engine/internal/engineclient.cpp
+++ b/src/engine/internal/engineclient.cpp
@@ -15,24 +15,24 @@
 constexpr Duration ConnectTimeout = std::chrono::seconds(1);
 constexpr Duration CancelTimeout = std::chrono::seconds(2);
 
-/// The reading side of one engine stream.
+/// Parses the response of one engine stream.
 struct StreamReader {
     SseParser parser;
     EngineHooks hooks;
     EngineResult result;
-    std::string requestId; ///< The attempt's; the engine says it with each chunk.
-    bool whole = false;
-    bool isOther = false; ///< The stream is of another request.
-    bool saidUsage = false;
+    std::string requestId; ///< Id of the attempt, which the engine repeats in each chunk.
+    bool isComplete = false;
+    bool isForOtherRequest = false; ///< The response belongs to another request.
+    bool hasReportedUsage = false;
     int status = 0;
 
     void onEvent(const SseEvent &event)
     {
-        if (isOther) {
+        if (isForOtherRequest) {
             return;
         }
         if (event.data == DoneMarker) {
-            whole = true;
+            isComplete = true;
             return;
         }
         const auto json = http::parseJson(event.data);
@@ -40,7 +40,7 @@
             return;
         }
         if ((*json)["id"].isString() && (*json)["id"].asString() != requestId) {
-            isOther = true;
+            isForOtherRequest = true;
             return;
         }
         readUsage((*json)["usage"]);
@@ -61,19 +61,19 @@
         }
         result.promptTokens = usage.get("prompt_tokens", 0).asInt64();
         result.cachedTokens = usage["prompt_tokens_details"].get("cached_tokens", 0).asInt64();
-        if (hooks.onUsage && !saidUsage) {
-            saidUsage = true;
+        if (hooks.onUsage && !hasReportedUsage) {
+            hasReportedUsage = true;
             hooks.onUsage(result.promptTokens, result.cachedTokens);
         }
     }
 };
 
-StreamEnd endOf(const http::ClientResult &result, bool whole)
+StreamEnd streamEndOf(const http::ClientResult &result, bool isComplete)
 {
     if (result.transport == http::Transport::Cancelled) {
         return StreamEnd::Cancelled;
     }
-    if (whole) {
+    if (isComplete) {
         return StreamEnd::Finished;
     }
     if (result.transport == http::Transport::NotSent || result.status == 503 || result.status == 429) {
@@ -117,7 +117,6 @@
     return baseUrl(server) + "/v1/kv/" + requestId;
 }
 
-/// The client that speaks HTTP.
 class HttpEngineClient : public EngineClient
 {
 public:
@@ -132,7 +131,7 @@
     void disconnect(http::CallId call) override;
     void exportKv(const membership::Vm &server,
         const std::string &requestId,
-        std::size_t limit,
+        std::size_t maxBytes,
         Duration timeout,
         std::function<void(std::optional<std::string>)> done) override;
     void importKv(
@@ -155,18 +154,18 @@
     http::ClientHooks clientHooks;
     clientHooks.onHeaders = [reader](int status, const http::Headers &headers) {
         const std::string_view streamId = http::headerValue(headers, StreamIdHeader);
-        reader->isOther = !streamId.empty() && streamId != reader->requestId;
+        reader->isForOtherRequest = !streamId.empty() && streamId != reader->requestId;
         reader->status = status;
     };
     clientHooks.onData = [reader](std::string_view bytes) {
         if (reader->status != 200) {
             return true;
         }
-        // NOTE Bytes of another request are never passed on: the stream ends as broken.
-        return reader->parser.feed(bytes, [&](const SseEvent &event) { reader->onEvent(event); }) && !reader->isOther;
+        // NOTE Output of another request is never passed on: the stream ends as Broken.
+        return reader->parser.feed(bytes, [&](const SseEvent &event) { reader->onEvent(event); }) && !reader->isForOtherRequest;
     };
     clientHooks.onDone = [reader](http::ClientResult result) {
-        reader->result.end = endOf(result, reader->whole);
+        reader->result.end = streamEndOf(result, reader->isComplete);
         reader->result.wasConnected = result.transport != http::Transport::NotSent;
         reader->result.isLeaving = !http::headerValue(result.headers, "X-Leaving").empty();
         reader->result.timedOut = result.timedOut;
@@ -184,9 +183,9 @@
     http.url = baseUrl(server) + "/v1/chat/completions";
     http.headers["Content-Type"] = "application/json";
     http.headers["X-Request-Id"] = request.requestId;
-    // A kept connection that the engine closed meanwhile is no failure of the engine.
+    // The engine may have closed a pooled connection in the meantime, which is no failure: the request is sent again.
     http.mayResend = true;
-    // NOTE The engine answers refused if it is not this instance: an address may belong to a new VM by now.
+    // NOTE The address may belong to a new VM by now: an engine that is not this instance refuses the request.
     http.headers["X-Instance"] = server.instance;
     http.body = bodyOf(request);
     return open(server, std::move(http), request.requestId, std::move(hooks));
@@ -197,7 +196,7 @@
     http::ClientRequest http;
     http.url = fmt::format("{}/v1/streams/{}?starting_after={}", baseUrl(server), requestId, static_cast<std::int64_t>(position) - 1);
     http.headers["X-Instance"] = server.instance;
-    // NOTE The pooled connections to this server may share the fault that broke the last one.
+    // NOTE The pooled connections to this server may have the same fault as the one that broke.
     http.freshConnection = true;
     return open(server, std::move(http), requestId, std::move(hooks));
 }
@@ -219,7 +218,7 @@
 }
 
 void HttpEngineClient::exportKv(
-    const membership::Vm &server, const std::string &requestId, std::size_t limit, Duration timeout, std::function<void(std::optional<std::string>)> done)
+    const membership::Vm &server, const std::string &requestId, std::size_t maxBytes, Duration timeout, std::function<void(std::optional<std::string>)> done)
 {
     http::ClientRequest http;
     http.url = kvUrl(server, requestId);
@@ -228,13 +227,13 @@
     http.timeout = timeout;
     auto cache = std::make_shared<std::string>();
     http::ClientHooks hooks;
-    hooks.onData = [cache, limit](std::string_view bytes) {
+    hooks.onData = [cache, maxBytes](std::string_view bytes) {
         cache->append(bytes);
-        return cache->size() <= limit;
+        return cache->size() <= maxBytes;
     };
     hooks.onDone = [cache, done = std::move(done)](const http::ClientResult &result) {
-        const bool isWhole = result.transport == http::Transport::Completed && result.status == 200;
-        done(isWhole ? std::optional<std::string>(std::move(*cache)) : std::nullopt);
+        const bool isComplete = result.transport == http::Transport::Completed && result.status == 200;
+        done(isComplete ? std::optional<std::string>(std::move(*cache)) : std::nullopt);
     };
     client_->start(std::move(http), std::move(hooks));
 }
--- a/src/engine/internal/sseparser.cpp
+++ b/src/engine/internal/sseparser.cpp
@@ -4,21 +4,21 @@
 
 bool SseParser::feed(std::string_view bytes, const std::function<void(const SseEvent &event)> &handler)
 {
-    rest_.append(bytes);
+    buffer_.append(bytes);
     std::size_t start = 0;
-    for (std::size_t end = rest_.find('\n'); end != std::string::npos; end = rest_.find('\n', start)) {
-        std::string_view line(rest_.data() + start, end - start);
+    for (std::size_t end = buffer_.find('\n'); end != std::string::npos; end = buffer_.find('\n', start)) {
+        std::string_view line(buffer_.data() + start, end - start);
         if (line.ends_with('\r')) {
             line.remove_suffix(1);
         }
-        takeLine(line, handler);
+        parseLine(line, handler);
         start = end + 1;
     }
-    rest_.erase(0, start);
-    return rest_.size() + event_.data.size() <= LongestEvent;
+    buffer_.erase(0, start);
+    return buffer_.size() + event_.data.size() <= MaxEventBytes;
 }
 
-void SseParser::takeLine(std::string_view line, const std::function<void(const SseEvent &event)> &handler)
+void SseParser::parseLine(std::string_view line, const std::function<void(const SseEvent &event)> &handler)
 {
     if (line.empty()) {
         if (!event_.data.empty()) {
--- a/src/engine/sseparser.h
+++ b/src/engine/sseparser.h
@@ -12,18 +12,18 @@
     std::string data;
 };
 
-/// Cuts a byte stream into server-sent events. Memory is bounded by the longest event allowed.
+/// Incremental parser for a stream of server-sent events. Memory use is bounded by the maximum event size.
 class SseParser
 {
 public:
-    static constexpr std::size_t LongestEvent = 1 << 20;
+    static constexpr std::size_t MaxEventBytes = 1 << 20;
 
-    /// Calls @p handler for each whole event. False when an event is longer than LongestEvent.
+    /// Calls @p handler for each complete event. Returns false if an event is larger than MaxEventBytes.
     bool feed(std::string_view bytes, const std::function<void(const SseEvent &event)> &handler);
 
 private:
-    void takeLine(std::string_view line, const std::function<void(const SseEvent &event)> &handler);
-    std::string rest_;
+    void parseLine(std::string_view line, const std::function<void(const SseEvent &event)> &handler);
+    std::string buffer_;
     SseEvent event_;
 };
 
