--- a/src/lifecycle/internal/lifecycle.cpp
+++ b/src/lifecycle/internal/lifecycle.cpp
@@ -9,10 +9,10 @@
 namespace {
 
 constexpr Duration CheckPeriod = std::chrono::milliseconds(50);
-/// The balancer sees the failing health check within this time; connections it made meanwhile are served.
-constexpr Duration TakeWorkFor = std::chrono::seconds(1);
-/// For handing over what is open after the bound.
-constexpr Duration HandoverTime = std::chrono::seconds(3);
+/// The load balancer notices the failing health check within this time. Until then, new connections are still served.
+constexpr Duration AcceptGracePeriod = std::chrono::seconds(1);
+/// Time limit for handing over the work that is still open at the drain's deadline.
+constexpr Duration HandoverTimeout = std::chrono::seconds(3);
 
 void callAll(const std::vector<std::function<void()>> &handlers)
 {
@@ -32,7 +32,7 @@
 
 Phase Lifecycle::phase() const
 {
-    if (phase_ == Phase::Ready && gate_ && !gate_()) {
+    if (phase_ == Phase::Ready && mayTakeNewWork_ && !mayTakeNewWork_()) {
         return Phase::Suspended;
     }
     return phase_;
@@ -47,26 +47,26 @@
 
 void Lifecycle::setReadinessCheck(std::function<bool()> mayTakeNewWork)
 {
-    gate_ = std::move(mayTakeNewWork);
+    mayTakeNewWork_ = std::move(mayTakeNewWork);
 }
 
 bool Lifecycle::acceptsWork() const
 {
-    return phase() == Phase::Ready || (phase_ == Phase::Draining && !isPastLastWork_ && wasReady_);
+    return phase() == Phase::Ready || (phase_ == Phase::Draining && !hasStoppedAccepting_ && wasReady_);
 }
 
-void Lifecycle::drain(Duration bound)
+void Lifecycle::drain(Duration timeout)
 {
-    const TimePoint end = loop_->now() + bound;
+    const TimePoint deadline = loop_->now() + timeout;
     if (phase_ == Phase::Draining) {
-        drainEnd_ = std::min(drainEnd_, end);
-        logOpen();
+        drainDeadline_ = std::min(drainDeadline_, deadline);
+        logOpenWork();
         return;
     }
     wasReady_ = phase_ == Phase::Ready;
     phase_ = Phase::Draining;
-    lastWork_ = loop_->now() + (wasReady_ ? std::min(TakeWorkFor, bound / 2) : Duration(0));
-    drainEnd_ = end;
+    acceptUntil_ = loop_->now() + (wasReady_ ? std::min(AcceptGracePeriod, timeout / 2) : Duration(0));
+    drainDeadline_ = deadline;
     partLogger("lifecycle")->info("Draining.");
     callAll(drainHandlers_);
     loop_->every(CheckPeriod, [this] { check(); });
@@ -79,44 +79,44 @@
 
 void Lifecycle::addOpenWorkCounter(std::string name, std::function<std::size_t()> openCount)
 {
-    probes_.push_back({std::move(name), std::move(openCount)});
+    openWorkCounters_.push_back({std::move(name), std::move(openCount)});
 }
 
 void Lifecycle::onStopAccepting(std::function<void()> handler)
 {
-    lastWorkHandlers_.push_back(std::move(handler));
+    stopAcceptingHandlers_.push_back(std::move(handler));
 }
 
 void Lifecycle::onDrainDeadline(std::function<void()> handler)
 {
-    boundHandlers_.push_back(std::move(handler));
+    deadlineHandlers_.push_back(std::move(handler));
 }
 
 void Lifecycle::check()
 {
     const TimePoint now = loop_->now();
-    if (!isPastLastWork_ && now >= lastWork_) {
-        isPastLastWork_ = true;
-        callAll(lastWorkHandlers_);
+    if (!hasStoppedAccepting_ && now >= acceptUntil_) {
+        hasStoppedAccepting_ = true;
+        callAll(stopAcceptingHandlers_);
     }
-    if (!isPastLastWork_) {
+    if (!hasStoppedAccepting_) {
         return;
     }
     if (isIdle()) {
         stop();
-    } else if (isPastBound_ && now >= drainEnd_ + HandoverTime) {
-        logOpen();
+    } else if (isPastDeadline_ && now >= drainDeadline_ + HandoverTimeout) {
+        logOpenWork();
         stop();
-    } else if (!isPastBound_ && now >= drainEnd_) {
-        isPastBound_ = true;
-        logOpen();
-        callAll(boundHandlers_);
+    } else if (!isPastDeadline_ && now >= drainDeadline_) {
+        isPastDeadline_ = true;
+        logOpenWork();
+        callAll(deadlineHandlers_);
     }
 }
 
 bool Lifecycle::isIdle() const
 {
-    return std::all_of(probes_.begin(), probes_.end(), [](const Probe &probe) { return probe.openCount() == 0; });
+    return std::all_of(openWorkCounters_.begin(), openWorkCounters_.end(), [](const OpenWorkCounter &counter) { return counter.openCount() == 0; });
 }
 
 void Lifecycle::stop()
@@ -125,10 +125,10 @@
     loop_->stop();
 }
 
-void Lifecycle::logOpen() const
+void Lifecycle::logOpenWork() const
 {
-    for (const Probe &probe : probes_) {
-        partLogger("lifecycle")->warn("Still open. part={} open={}", probe.name, probe.openCount());
+    for (const OpenWorkCounter &counter : openWorkCounters_) {
+        partLogger("lifecycle")->warn("Still open. part={} open={}", counter.name, counter.openCount());
     }
 }
 
--- a/src/lifecycle/lifecycle.h
+++ b/src/lifecycle/lifecycle.h
@@ -13,11 +13,11 @@
 enum class Phase {
     Starting, ///< Not yet able to serve.
     Ready,
-    Suspended, ///< Was ready; takes no new work while the gate is closed. What is open goes on.
-    Draining, ///< Takes no new work; what is open finishes or moves.
+    Suspended, ///< Was ready, but the readiness check fails: takes no new work, while open work continues.
+    Draining, ///< Shutting down: soon takes no new work; open work finishes or is handed over to other VMs.
 };
 
-/// The daemon's phase. Parts with open work register a probe; the daemon stops when it drains and all are idle.
+/// The daemon's lifecycle phase. Modules register counters of their open work; a draining daemon stops once all are 0.
 class Lifecycle
 {
 public:
@@ -25,24 +25,25 @@
 
     Phase phase() const;
     void setReady();
-    /// Asked at each phase() while ready; false makes that Suspended.
+    /// Sets a check that phase() makes while the daemon is ready. If it returns false, the phase is Suspended.
     void setReadinessCheck(std::function<bool()> mayTakeNewWork);
-    /// Whether new work may start: when ready, and for a moment after the drain began, until callers have gone elsewhere.
+    /// Whether new work may start: when ready, and for a short time after a drain began, until load balancers have noticed.
     bool acceptsWork() const;
-    /// Starts draining. The loop stops when every probe gives 0. What is open after @p bound is handed over, and the loop
-    /// stops a few seconds later. A repeat logs what is still open; it can shorten the bound, not lengthen it.
-    void drain(Duration bound);
-    /// Called when the drain begins.
+    /// Starts draining. The event loop stops when every open-work counter is 0. Work still open after @p timeout is handed
+    /// over, and the loop stops a few seconds later. A repeated call logs what is still open, and can bring the deadline
+    /// forward but not postpone it.
+    void drain(Duration timeout);
+    /// Adds a handler that is called when the drain begins.
     void onDrain(std::function<void()> handler);
-    /// Called a moment later, when no new work is taken any more.
+    /// Adds a handler that is called shortly after the drain began, when new work is no longer accepted.
     void onStopAccepting(std::function<void()> handler);
-    /// Called when the bound has passed with work still open.
+    /// Adds a handler that is called when the drain's deadline has passed with work still open.
     void onDrainDeadline(std::function<void()> handler);
-    /// @p openCount gives the number of open pieces of work of the part @p name.
+    /// @p openCount returns the number of units of work that the module @p name has open.
     void addOpenWorkCounter(std::string name, std::function<std::size_t()> openCount);
 
 private:
-    struct Probe {
+    struct OpenWorkCounter {
         std::string name;
         std::function<std::size_t()> openCount;
     };
@@ -50,19 +51,19 @@
     void check();
     void stop();
     bool isIdle() const;
-    void logOpen() const;
+    void logOpenWork() const;
     EventLoop *loop_ = nullptr;
     Phase phase_ = Phase::Starting;
-    std::function<bool()> gate_;
-    TimePoint lastWork_;
-    TimePoint drainEnd_;
+    std::function<bool()> mayTakeNewWork_;
+    TimePoint acceptUntil_;
+    TimePoint drainDeadline_;
     bool wasReady_ = false;
-    bool isPastLastWork_ = false;
-    bool isPastBound_ = false;
+    bool hasStoppedAccepting_ = false;
+    bool isPastDeadline_ = false;
     std::vector<std::function<void()>> drainHandlers_;
-    std::vector<std::function<void()>> lastWorkHandlers_;
-    std::vector<std::function<void()>> boundHandlers_;
-    std::vector<Probe> probes_;
+    std::vector<std::function<void()>> stopAcceptingHandlers_;
+    std::vector<std::function<void()>> deadlineHandlers_;
+    std::vector<OpenWorkCounter> openWorkCounters_;
 };
 
 } // namespace cardamomlift::lifecycle
