--- a/src/peers/grpctransport.h
+++ b/src/peers/grpctransport.h
@@ -9,30 +9,31 @@
 
 namespace cardamomlift::peers {
 
-/// Settings of the transport between entry VMs.
+/// Options of a GrpcTransport.
 struct GrpcOptions {
     std::string instance;
     std::string address = "127.0.0.1";
     std::uint16_t port = 0;
     std::string token; ///< Shared secret; calls without it are refused.
-    std::string certificatePem; ///< With privateKeyPem: TLS, and peers must show a certificate of the same authority.
+    std::string certificatePem; ///< If set, calls use TLS and peers must present a certificate signed by the same authority.
     std::string privateKeyPem;
     std::string authorityPem;
-    /// Called on the loop for each call that ended, with the payload bytes both ways. May be empty.
+    /// Called on the event loop's thread when an outgoing call has ended, with its payload bytes in both directions. May
+    /// be empty.
     std::function<void(std::string_view topic, std::size_t bytes)> onCallEnded;
 };
 
-/// Peer calls over gRPC. gRPC works on threads of its own, which only pass messages to the loop.
+/// Peer calls over gRPC. gRPC runs its callbacks on its own threads, which only post messages to the event loop.
 ///
-/// Must be stopped before its loop ends: gRPC's threads go on while others still own the transport.
+/// Must be stopped before its event loop is destroyed: gRPC's threads keep running as long as anyone owns the transport.
 class GrpcTransport : public PeerTransport
 {
 public:
     static Result<std::shared_ptr<GrpcTransport>> create(EventLoop &loop, GrpcOptions options);
-    /// Stops it.
+    /// Calls stop().
     ~GrpcTransport() override;
 
-    /// Refuses what peers ask, cancels what was asked of them, and calls no handler and no reply from here on.
+    /// Refuses incoming calls and cancels outgoing ones. From then on no handler and no reply is called.
     void stop();
     void send(const PeerAddress &peer, std::string topic, std::string payload, Duration timeout, Reply reply) override;
     void handle(std::string topic, TopicHandler handler) override;
@@ -44,7 +45,7 @@
 private:
     GrpcTransport() = default;
     std::shared_ptr<Impl> impl_;
-    bool stopped_ = false;
+    bool isStopped_ = false;
 };
 
 } // namespace cardamomlift::peers
--- a/src/peers/internal/grpctransport.cpp
+++ b/src/peers/internal/grpctransport.cpp
@@ -25,12 +25,12 @@
 Result<std::string> resultOf(SentCall &call, const grpc::Status &status, PeerCounters &counters)
 {
     if (!status.ok()) {
-        counters.failed++;
+        counters.callsFailed++;
         return toError(status);
     }
     counters.bytesReceived += call.reply.payload().size();
     if (!call.reply.accepted()) {
-        counters.failed++;
+        counters.callsFailed++;
         return failure(ErrorKind::Denied, call.reply.refusal());
     }
     return std::move(*call.reply.mutable_payload());
@@ -43,7 +43,7 @@
     GrpcOptions options;
     std::unique_ptr<grpc::Server> server;
     int boundPort = 0;
-    /// Shared with what answers calls, which may outlive the transport.
+    /// Shared with the callbacks that answer calls, which may outlive the transport.
     std::shared_ptr<PeerCounters> counters = std::make_shared<PeerCounters>();
     std::unordered_map<std::string, TopicHandler> handlers;
     std::map<std::string, std::shared_ptr<grpc::Channel>> channels;
@@ -65,7 +65,7 @@
         reactor->Finish(grpc::Status(grpc::StatusCode::UNAUTHENTICATED, "wrong peer token"));
         return reactor;
     }
-    calls->receive(std::make_shared<ReceivedCall>(reactor, request, reply), [this](const std::shared_ptr<ReceivedCall> &call) { dispatch(call); });
+    calls->addReceived(std::make_shared<ReceivedCall>(reactor, request, reply), [this](const std::shared_ptr<ReceivedCall> &call) { dispatch(call); });
     return reactor;
 }
 
@@ -78,7 +78,7 @@
     if (request.to_instance() != options.instance || handler == handlers.end()) {
         call->reply().set_accepted(false);
         call->reply().set_refusal(handler == handlers.end() ? "unknown topic" : "another instance listens here");
-        calls->answered(call);
+        calls->finishReceived(call);
         return;
     }
     handler->second(request.from_instance(), request.payload(), [open = calls, counters = counters, call](Result<std::string> payload) {
@@ -92,7 +92,7 @@
         } else {
             call->reply().set_refusal(payload.error().message);
         }
-        open->answered(call);
+        open->finishReceived(call);
     });
 }
 
@@ -136,7 +136,7 @@
         arguments.SetInt(GRPC_ARG_MAX_RECONNECT_BACKOFF_MS, 1000);
         arguments.SetInt(GRPC_ARG_INITIAL_RECONNECT_BACKOFF_MS, 100);
         arguments.SetInt(GRPC_ARG_ENABLE_HTTP_PROXY, 0);
-        // No pings that probe the bandwidth: messages between VMs are small, and each probe costs more than its message.
+        // No pings that estimate the bandwidth: messages between VMs are small, and each ping costs more than its message.
         arguments.SetInt(GRPC_ARG_HTTP2_BDP_PROBE, 0);
         channel = grpc::CreateCustomChannel("ipv4:" + target, channelCredentials(), arguments);
     }
@@ -169,7 +169,7 @@
 
 void GrpcTransport::stop()
 {
-    if (!std::exchange(stopped_, true)) {
+    if (!std::exchange(isStopped_, true)) {
         impl_->stop();
     }
 }
@@ -177,13 +177,13 @@
 void GrpcTransport::send(const PeerAddress &peer, std::string topic, std::string payload, Duration timeout, Reply reply)
 {
     auto call = std::make_shared<SentCall>();
-    if (!impl_->calls->send(call)) {
+    if (!impl_->calls->addSent(call)) {
         return;
     }
     impl_->counters->callsSent++;
     impl_->counters->bytesSent += payload.size();
     call->context.AddMetadata(TokenMetadata, impl_->options.token);
-    // NOTE gRPC's own clock: a deadline of the transport, which a paused test clock does not stop.
+    // NOTE The deadline is measured by gRPC's own clock. It passes even while a test has paused the loop's clock.
     call->context.set_deadline(Deadline::clock::now() + timeout);
     call->request.set_from_instance(impl_->options.instance);
     call->request.set_to_instance(peer.instance);
@@ -191,13 +191,14 @@
     call->request.set_payload(std::move(payload));
     call->stub = wire::Peers::NewStub(impl_->channelTo(peer));
     call->handler = std::move(reply);
-    // NOTE Nothing here owns the call: gRPC's thread would free it, with its handler, beside the loop's thread.
+    // NOTE The callback must not own the call: gRPC's thread would destroy it, and its reply handler with it, outside the
+    // event loop's thread.
     SentCall *raw = call.get();
     call->stub->async()->Send(&raw->context,
         &raw->request,
         &raw->reply,
         [raw, calls = impl_->calls, counters = impl_->counters, onCallEnded = impl_->options.onCallEnded](const grpc::Status &status) {
-            calls->ended(raw, [counters, status, onCallEnded](SentCall &call) {
+            calls->finishSent(raw, [counters, status, onCallEnded](SentCall &call) {
                 if (onCallEnded) {
                     onCallEnded(call.request.topic(), call.request.payload().size() + call.reply.payload().size());
                 }
--- a/src/peers/internal/localtransport.cpp
+++ b/src/peers/internal/localtransport.cpp
@@ -4,7 +4,7 @@
 
 namespace {
 
-/// A reply that is given once: by the answer or by the timeout, whichever is first.
+/// The reply of a call, which is called once: by the answer or by the timeout, whichever comes first.
 struct PendingReply {
     Reply reply;
     TimerId timer = 0;
@@ -51,7 +51,7 @@
         once(std::move(result));
     };
     pending->timer = loop_.after(timeout, [this, settle] {
-        counters_.failed++;
+        counters_.callsFailed++;
         settle(failure(ErrorKind::Unavailable, "the peer did not answer"));
     });
     loop_.post([network = network_, from = instance_, to = peer.instance, topic = std::move(topic), payload = std::move(payload), settle] {
--- a/src/peers/internal/opencalls.cpp
+++ b/src/peers/internal/opencalls.cpp
@@ -8,9 +8,9 @@
 
 namespace {
 
-grpc::Status stopped()
+grpc::Status shutdownStatus()
 {
-    return {grpc::StatusCode::UNAVAILABLE, "the VM stops"};
+    return {grpc::StatusCode::UNAVAILABLE, "the VM is shutting down"};
 }
 
 } // namespace
@@ -49,11 +49,11 @@
 {
 }
 
-void OpenCalls::receive(std::shared_ptr<ReceivedCall> call, std::function<void(const std::shared_ptr<ReceivedCall> &)> handler)
+void OpenCalls::addReceived(std::shared_ptr<ReceivedCall> call, std::function<void(const std::shared_ptr<ReceivedCall> &)> handler)
 {
     const std::lock_guard lock(mutex_);
-    if (closed_) {
-        call->end(stopped());
+    if (isClosed_) {
+        call->end(shutdownStatus());
         return;
     }
     received_.insert(call);
@@ -64,7 +64,7 @@
     });
 }
 
-void OpenCalls::answered(const std::shared_ptr<ReceivedCall> &call)
+void OpenCalls::finishReceived(const std::shared_ptr<ReceivedCall> &call)
 {
     {
         const std::lock_guard lock(mutex_);
@@ -73,24 +73,24 @@
     call->end(grpc::Status::OK);
 }
 
-bool OpenCalls::send(const std::shared_ptr<SentCall> &call)
+bool OpenCalls::addSent(const std::shared_ptr<SentCall> &call)
 {
     const std::lock_guard lock(mutex_);
-    if (closed_) {
+    if (isClosed_) {
         return false;
     }
     sent_.emplace(call.get(), call);
     return true;
 }
 
-void OpenCalls::ended(SentCall *call, std::function<void(SentCall &)> handler)
+void OpenCalls::finishSent(SentCall *call, std::function<void(SentCall &)> handler)
 {
     const std::lock_guard lock(mutex_);
     auto node = sent_.extract(call);
-    if (closed_) {
-        // close() holds the call too, so that its handler is freed on the loop's thread.
+    if (isClosed_) {
+        // close() owns the call too, so that its reply handler is destroyed on the event loop's thread.
         node = {};
-        sentEnded_.notify_all();
+        sentCallEnded_.notify_all();
         return;
     }
     loop_->post([owned = std::move(node.mapped()), handler = std::move(handler)] { handler(*owned); });
@@ -102,19 +102,19 @@
     std::unordered_map<SentCall *, std::shared_ptr<SentCall>> sent;
     {
         const std::lock_guard lock(mutex_);
-        closed_ = true;
+        isClosed_ = true;
         received.swap(received_);
         sent = sent_;
     }
-    // gRPC's server waits for the end of each call when it shuts down.
+    // When gRPC's server shuts down, it waits until every incoming call has ended.
     for (const auto &call : received) {
-        call->end(stopped());
+        call->end(shutdownStatus());
     }
     for (const auto &[raw, call] : sent) {
         call->context.TryCancel();
     }
     std::unique_lock lock(mutex_);
-    sentEnded_.wait(lock, [this] { return sent_.empty(); });
+    sentCallEnded_.wait(lock, [this] { return sent_.empty(); });
 }
 
 } // namespace cardamomlift::peers
--- a/src/peers/internal/opencalls.h
+++ b/src/peers/internal/opencalls.h
@@ -12,7 +12,8 @@
 
 namespace cardamomlift::peers {
 
-/// A call of a peer, from its arrival until its end is given to gRPC. Everything but the constructor belongs to the loop's thread.
+/// An incoming call of a peer, from its arrival until gRPC is told to finish it. Everything but the constructor runs on the event
+/// loop's thread.
 class ReceivedCall
 {
 public:
@@ -23,7 +24,7 @@
     const wire::Envelope &request() const;
     /// Valid until end().
     wire::EnvelopeReply &reply();
-    /// Gives the end to gRPC, which frees the request and the reply. A second end is ignored.
+    /// Tells gRPC to finish the call with @p status, which frees the request and the reply. A second call is ignored.
     void end(const grpc::Status &status);
 
 private:
@@ -32,7 +33,7 @@
     wire::EnvelopeReply *reply_;
 };
 
-/// A call to a peer, with all that gRPC uses until its end.
+/// An outgoing call to a peer, with everything that gRPC needs until the call has ended.
 struct SentCall {
     grpc::ClientContext context;
     wire::Envelope request;
@@ -41,32 +42,32 @@
     Reply handler;
 };
 
-/// The calls under way, and the only way from gRPC's threads to the loop. Closed before the loop ends, so that an answer
-/// which comes later touches neither the loop nor what waits for it.
+/// The calls in progress, and the only way from gRPC's threads to the event loop. It is closed before the loop is destroyed, so
+/// that a later answer uses neither the loop nor the callers that waited for the answer.
 class OpenCalls
 {
 public:
     explicit OpenCalls(EventLoop &loop);
 
-    /// Has @p handler run on the loop's thread. On a gRPC thread. Ends the call at once if closed.
-    void receive(std::shared_ptr<ReceivedCall> call, std::function<void(const std::shared_ptr<ReceivedCall> &)> handler);
-    /// Sends the answer that is in the call's reply.
-    void answered(const std::shared_ptr<ReceivedCall> &call);
+    /// Registers an incoming call and posts @p handler to the event loop. Called on a gRPC thread. If closed, ends the call at once.
+    void addReceived(std::shared_ptr<ReceivedCall> call, std::function<void(const std::shared_ptr<ReceivedCall> &)> handler);
+    /// Ends an incoming call, sending the answer that is in its reply.
+    void finishReceived(const std::shared_ptr<ReceivedCall> &call);
 
-    /// Keeps @p call until it has ended. False if closed: the call must not start.
-    bool send(const std::shared_ptr<SentCall> &call);
-    /// Has @p handler run on the loop's thread with the ended call. On a gRPC thread.
-    void ended(SentCall *call, std::function<void(SentCall &)> handler);
+    /// Registers an outgoing call and owns it until it has ended. Returns false if closed; the call must not start then.
+    bool addSent(const std::shared_ptr<SentCall> &call);
+    /// Posts @p handler, with the outgoing call that has ended, to the event loop. Called on a gRPC thread.
+    void finishSent(SentCall *call, std::function<void(SentCall &)> handler);
 
-    /// Ends what peers asked, cancels what was asked of peers, and waits until gRPC is done with the latter. No handler
-    /// runs from here on.
+    /// Ends the incoming calls, cancels the outgoing ones, and waits until gRPC has finished the latter. No handler runs after
+    /// that.
     void close();
 
 private:
     EventLoop *loop_;
     std::mutex mutex_;
-    std::condition_variable sentEnded_;
-    bool closed_ = false;
+    std::condition_variable sentCallEnded_;
+    bool isClosed_ = false;
     std::unordered_set<std::shared_ptr<ReceivedCall>> received_;
     std::unordered_map<SentCall *, std::shared_ptr<SentCall>> sent_;
 };
--- a/src/peers/localtransport.h
+++ b/src/peers/localtransport.h
@@ -13,14 +13,14 @@
 
 class LocalTransport;
 
-/// Connects LocalTransports of one process: the small fake of the network between entry VMs, for tests.
+/// Connects the LocalTransports of one process. A fake of the network between entry VMs, for tests.
 struct LocalNetwork {
     std::map<std::string, LocalTransport *> transports; ///< By instance.
-    std::set<std::pair<std::string, std::string>> blockedLinks; ///< (from, to): messages of this direction are lost.
+    std::set<std::pair<std::string, std::string>> blockedLinks; ///< (from, to): messages in this direction are lost.
 };
 
-/// Peer calls inside one process, through a LocalNetwork. Delivery is by the loop's message queue; a lost message ends
-/// as Unavailable after the call's timeout on the loop's clock.
+/// Peer calls within one process, over a LocalNetwork. Messages are delivered through the event loop's queue. A call whose
+/// message is lost fails as Unavailable after its timeout, by the loop's clock.
 class LocalTransport : public PeerTransport
 {
 public:
--- a/src/peers/peersmodule.cpp
+++ b/src/peers/peersmodule.cpp
@@ -67,7 +67,7 @@
         };
         publish("peer_calls_sent_total", &PeerCounters::callsSent);
         publish("peer_calls_received_total", &PeerCounters::callsReceived);
-        publish("peer_calls_failed_total", &PeerCounters::failed);
+        publish("peer_calls_failed_total", &PeerCounters::callsFailed);
         publish("peer_bytes_sent_total", &PeerCounters::bytesSent);
         publish("peer_bytes_received_total", &PeerCounters::bytesReceived);
     }
--- a/src/peers/tests/grpctransport_test.cpp
+++ b/src/peers/tests/grpctransport_test.cpp
@@ -17,9 +17,9 @@
 constexpr Duration ShortTimeout = std::chrono::milliseconds(200);
 constexpr Duration LongTimeout = std::chrono::minutes(10);
 
-/// One side of a call: a loop and what listens on it.
-struct Side {
-    explicit Side(std::string instance)
+/// One end of a call: an event loop and its transport.
+struct Endpoint {
+    explicit Endpoint(std::string instance)
         : loop(std::move(EventLoop::create(clock).value()))
     {
         peers::GrpcOptions options;
@@ -38,7 +38,7 @@
     std::shared_ptr<peers::PeerTransport> transport;
 };
 
-/// Runs the loops until @p condition holds; the time limit of the test ends a wait in vain.
+/// Runs the event loops until @p condition holds. If it never does, the time limit of the test ends the wait.
 template<class Condition>
 void runUntil(Condition condition, std::initializer_list<EventLoop *> loops)
 {
@@ -50,8 +50,8 @@
     }
 }
 
-/// A reply that holds @p token until gRPC has let go of it.
-peers::Reply replyHolding(std::shared_ptr<int> token)
+/// A reply that owns @p token, to show when the transport has destroyed the reply.
+peers::Reply replyOwning(std::shared_ptr<int> token)
 {
     return [token = std::move(token)](const Result<std::string> &) {
     };
@@ -72,8 +72,8 @@
 
 TEST(GrpcTransport, AnswersACall)
 {
-    Side caller("a");
-    Side server("b");
+    Endpoint caller("a");
+    Endpoint server("b");
     server.transport->handle(Topic, [](const std::string &from, const std::string &payload, const peers::Reply &reply) { reply(from + payload); });
     std::string answer;
     caller.transport->send(server.address(), Topic, "-asks", LongTimeout, [&](Result<std::string> payload) { answer = payload.value(); });
@@ -81,40 +81,40 @@
     EXPECT_EQ(answer, "a-asks");
 }
 
-TEST(GrpcTransport, CallThatEndsAfterTheLoopTouchesNothing)
+TEST(GrpcTransport, AnOpenCallDoesNotUseTheDestroyedEventLoop)
 {
-    Side server("b");
+    Endpoint server("b");
     auto token = std::make_shared<int>(0);
-    const std::weak_ptr<int> held = token;
+    const std::weak_ptr<int> observer = token;
     {
-        Side caller("a");
-        // The server's loop does not run, so the call ends by its timeout.
-        caller.transport->send(server.address(), Topic, "", ShortTimeout, replyHolding(std::move(token)));
+        Endpoint caller("a");
+        // The server's event loop does not run, so the call is still open when the caller's transport and loop are destroyed.
+        caller.transport->send(server.address(), Topic, "", ShortTimeout, replyOwning(std::move(token)));
     }
-    runUntil([&] { return held.expired(); }, {});
+    runUntil([&] { return observer.expired(); }, {});
 }
 
-TEST(GrpcTransport, EndsWithAnUnansweredCall)
+TEST(GrpcTransport, DestructionFailsUnansweredCallsAndIgnoresLateAnswers)
 {
-    Side caller("a");
-    auto server = std::make_unique<Side>("b");
-    std::vector<peers::Reply> kept;
-    server->transport->handle(Topic, [&](const std::string &, const std::string &, const peers::Reply &reply) { kept.push_back(reply); });
+    Endpoint caller("a");
+    auto server = std::make_unique<Endpoint>("b");
+    std::vector<peers::Reply> unanswered;
+    server->transport->handle(Topic, [&](const std::string &, const std::string &, const peers::Reply &reply) { unanswered.push_back(reply); });
     bool ended = false;
     const auto onAnswer = [&](const Result<std::string> &payload) {
         EXPECT_FALSE(payload);
         ended = true;
     };
     caller.transport->send(server->address(), Topic, "", LongTimeout, onAnswer);
-    runUntil([&] { return !kept.empty(); }, {server->loop.get()});
+    runUntil([&] { return !unanswered.empty(); }, {server->loop.get()});
     server.reset();
     runUntil([&] { return ended; }, {caller.loop.get()});
-    kept.front()(std::string("too late"));
+    unanswered.front()(std::string("too late"));
 }
 
-TEST(GrpcTransport, ModuleStopsItThoughOthersHoldIt)
+TEST(GrpcTransport, ModuleStopsTheTransportWhileOthersOwnIt)
 {
-    Side server("b");
+    Endpoint server("b");
     SystemClock clock;
     auto loop = std::move(EventLoop::create(clock).value());
     auto runtime = std::make_shared<Runtime>();
@@ -126,16 +126,16 @@
     const auto peersModule = moduleNamed("peers");
     ASSERT_TRUE(metrics->start(context));
     ASSERT_TRUE(peersModule->start(context));
-    const auto holder = context.get<peers::PeerTransport>();
+    const auto transport = context.get<peers::PeerTransport>();
     auto token = std::make_shared<int>(0);
-    const std::weak_ptr<int> held = token;
-    holder->send(server.address(), Topic, "", ShortTimeout, replyHolding(std::move(token)));
+    const std::weak_ptr<int> observer = token;
+    transport->send(server.address(), Topic, "", ShortTimeout, replyOwning(std::move(token)));
     peersModule->stop(context);
     loop.reset();
-    runUntil([&] { return held.expired(); }, {});
+    runUntil([&] { return observer.expired(); }, {});
 }
 
-TEST(GrpcTransport, ModuleThatNeverStartedCanStop)
+TEST(GrpcTransport, ModuleThatWasNeverStartedCanStop)
 {
     Context context;
     moduleNamed("peers")->stop(context);
