--- a/src/reclaim/internal/reclaimwatch.cpp
+++ b/src/reclaim/internal/reclaimwatch.cpp
@@ -9,16 +9,16 @@
 
 namespace {
 
-constexpr Duration ReadTimeout = std::chrono::milliseconds(1000);
-constexpr Duration HandoverTime = std::chrono::milliseconds(1500);
-/// Assumed when only the list says that this VM is leaving.
-constexpr Duration UnknownTimeLeft = std::chrono::seconds(10);
+constexpr Duration NoticeTimeout = std::chrono::milliseconds(1000);
+constexpr Duration HandoverReserve = std::chrono::milliseconds(1500);
+/// Assumed when this VM is only marked as leaving in the membership list, which does not say how much time is left.
+constexpr Duration DefaultTimeLeft = std::chrono::seconds(10);
 
 } // namespace
 
-Duration drainTimeoutFor(Duration left)
+Duration drainTimeoutFor(Duration timeLeft)
 {
-    return std::max(left - HandoverTime, left / 2);
+    return std::max(timeLeft - HandoverReserve, timeLeft / 2);
 }
 
 std::shared_ptr<ReclaimWatch> ReclaimWatch::create(
@@ -37,9 +37,9 @@
     const std::weak_ptr<ReclaimWatch> weak = weak_from_this();
     members_->onChange([weak] {
         const auto self = weak.lock();
-        // NOTE A drain marks this VM as leaving by itself; that is no news.
+        // NOTE A drain also marks this VM as leaving, which is not a sign of a reclaim.
         if (self && self->lifecycle_->phase() != lifecycle::Phase::Draining && self->members_->isLeaving(self->members_->self())) {
-            self->onNotice(UnknownTimeLeft);
+            self->onNotice(DefaultTimeLeft);
         }
     });
     if (endpoint.empty()) {
@@ -48,36 +48,36 @@
     url_ = endpoint + "/notice/" + members_->self();
     loop_->every(period, [weak] {
         if (const auto self = weak.lock()) {
-            self->read();
+            self->pollNotice();
         }
     });
 }
 
-void ReclaimWatch::read()
+void ReclaimWatch::pollNotice()
 {
-    if (isReading_ || isNoticed_) {
+    if (isPolling_ || hasNotice_) {
         return;
     }
-    isReading_ = true;
+    isPolling_ = true;
     http::ClientRequest request;
     request.url = url_;
-    request.timeout = ReadTimeout;
+    request.timeout = NoticeTimeout;
     http::ClientHooks hooks;
     hooks.onDone = [self = shared_from_this()](const http::ClientResult &result) {
-        self->isReading_ = false;
+        self->isPolling_ = false;
         const auto json = result.status == 200 ? http::parseJson(result.body) : std::nullopt;
         if (json && json->isObject() && (*json)["secondsLeft"].isNumeric()) {
-            self->isNoticed_ = true;
+            self->hasNotice_ = true;
             self->onNotice(std::chrono::milliseconds(static_cast<std::int64_t>((*json)["secondsLeft"].asDouble() * 1000)));
         }
     };
     client_->start(std::move(request), std::move(hooks));
 }
 
-void ReclaimWatch::onNotice(Duration left)
+void ReclaimWatch::onNotice(Duration timeLeft)
 {
-    partLogger("reclaim")->warn("This VM is being reclaimed. seconds={}", std::chrono::duration_cast<std::chrono::seconds>(left).count());
-    lifecycle_->drain(drainTimeoutFor(left));
+    partLogger("reclaim")->warn("This VM is being reclaimed. seconds={}", std::chrono::duration_cast<std::chrono::seconds>(timeLeft).count());
+    lifecycle_->drain(drainTimeoutFor(timeLeft));
 }
 
 } // namespace cardamomlift::reclaim
--- a/src/reclaim/reclaimmodule.cpp
+++ b/src/reclaim/reclaimmodule.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-constexpr Duration NoticePeriod = std::chrono::milliseconds(500);
+constexpr Duration NoticePollPeriod = std::chrono::milliseconds(500);
 
 class ReclaimModule : public Module
 {
@@ -26,7 +26,7 @@
     {
         const auto watch = ReclaimWatch::create(
             *context.get<Runtime>()->loop, context.get<http::Client>(), context.get<lifecycle::Lifecycle>(), context.get<membership::Members>());
-        watch->start(context.get<settings::Settings>()->platform.noticeEndpoint, NoticePeriod);
+        watch->start(context.get<settings::Settings>()->platform.noticeEndpoint, NoticePollPeriod);
         context.set(watch);
         return success();
     }
--- a/src/reclaim/tests/reclaimwatch_test.cpp
+++ b/src/reclaim/tests/reclaimwatch_test.cpp
@@ -5,14 +5,14 @@
 using namespace cardamomlift;
 using namespace std::chrono_literals;
 
-TEST(ReclaimWatch, LeavesTimeForTheLastHandover)
+TEST(ReclaimWatch, ReservesTimeForTheHandover)
 {
     EXPECT_EQ(reclaim::drainTimeoutFor(30s), Duration(28500ms));
     EXPECT_EQ(reclaim::drainTimeoutFor(2s), Duration(1s));
     EXPECT_EQ(reclaim::drainTimeoutFor(0s), Duration(0));
 }
 
-TEST(ReclaimWatch, TheListsLeavingMarkStartsTheDrain)
+TEST(ReclaimWatch, ALeavingMarkInTheMembershipListStartsTheDrain)
 {
     ManualClock clock;
     const auto loop = std::move(EventLoop::create(clock).value());
