--- a/src/table/dynamodbformat.h
+++ b/src/table/dynamodbformat.h
@@ -10,8 +10,9 @@
 
 inline constexpr char PartitionAttribute[] = "pk";
 inline constexpr char SortAttribute[] = "sk";
-/// Seconds since 1970 UTC, of type N: the platform deletes the item some time after it ("time to live").
+/// Time to live (TTL): seconds since 1970 UTC, stored as type N. The platform deletes the item some time after it.
 inline constexpr char ExpiryAttribute[] = "expiresAt";
+/// Prefix of the operation name in the X-Amz-Target header.
 inline constexpr char TargetPrefix[] = "DynamoDB_20120810.";
 
 /// {"pk":{"S":…},"sk":{"S":…}}
@@ -20,9 +21,9 @@
 /// Empty if a key attribute is missing or an attribute is neither of type S nor N.
 std::optional<Item> itemFromJson(const Json::Value &json);
 
-/// Adds ConditionExpression and its name and value maps to an operation's JSON.
+/// Adds @p condition to the JSON body of an operation: ConditionExpression and its name and value maps.
 void addCondition(Json::Value &operation, const Condition &condition);
-/// Reads the forms that addCondition() writes. Empty for any other expression.
+/// Parses the expressions that addCondition() writes. Empty for any other expression.
 std::optional<Condition> conditionFromJson(const Json::Value &operation);
 
 } // namespace cardamomlift::table
--- a/src/table/dynamodbtable.h
+++ b/src/table/dynamodbtable.h
@@ -7,15 +7,16 @@
 
 namespace cardamomlift::table {
 
-/// Where the table is, and how requests to it are signed and bounded.
+/// Endpoint, request signing and time limit of a DynamoDbTable.
 struct DynamoDbOptions {
-    std::string endpoint; ///< "http://10.0.0.1:8000"
+    std::string endpoint; ///< As in "http://10.0.0.1:8000"
     std::string tableName = "cardamomlift";
     http::Signature signature;
-    Duration timeout = std::chrono::seconds(2); ///< Of one operation.
+    Duration timeout = std::chrono::seconds(2); ///< Time limit of one operation.
 };
 
-/// The table service over the published DynamoDB JSON protocol, version 20120810. The key attributes are "pk" and "sk".
+/// A client of the table service that uses the DynamoDB JSON protocol, version 20120810. The key attributes are "pk"
+/// (partition key) and "sk" (sort key).
 class DynamoDbTable : public Table
 {
 public:
--- a/src/table/internal/dynamodbformat.cpp
+++ b/src/table/internal/dynamodbformat.cpp
@@ -4,25 +4,25 @@
 
 namespace {
 
-constexpr char AbsentExpression[] = "attribute_not_exists(pk)";
-constexpr char EqualsExpression[] = "#a = :v";
+constexpr char ItemAbsentExpression[] = "attribute_not_exists(pk)";
+constexpr char AttributeEqualsExpression[] = "#a = :v";
 
-Json::Value text(const std::string &value)
+Json::Value stringAttribute(const std::string &value)
 {
     Json::Value json;
     json["S"] = value;
     return json;
 }
 
-Json::Value number(const std::string &value)
+Json::Value numberAttribute(const std::string &value)
 {
     Json::Value json;
     json["N"] = value;
     return json;
 }
 
-/// The value of a typed attribute, or null.
-const Json::Value *typedValue(const Json::Value &typed)
+/// The value of an attribute of type S or N, without the type; null for any other type.
+const Json::Value *attributeValue(const Json::Value &typed)
 {
     if (!typed.isObject()) {
         return nullptr;
@@ -41,8 +41,8 @@
 Json::Value keyToJson(const Key &key)
 {
     Json::Value json;
-    json[PartitionAttribute] = text(key.partition);
-    json[SortAttribute] = text(key.sort);
+    json[PartitionAttribute] = stringAttribute(key.partition);
+    json[SortAttribute] = stringAttribute(key.sort);
     return json;
 }
 
@@ -50,7 +50,7 @@
 {
     Json::Value json = keyToJson(item.key);
     for (const auto &[name, value] : item.attributes) {
-        json[name] = name == ExpiryAttribute ? number(value) : text(value);
+        json[name] = name == ExpiryAttribute ? numberAttribute(value) : stringAttribute(value);
     }
     return json;
 }
@@ -62,7 +62,7 @@
     }
     Item item;
     for (const std::string &name : json.getMemberNames()) {
-        const Json::Value *value = typedValue(json[name]);
+        const Json::Value *value = attributeValue(json[name]);
         if (!value) {
             return std::nullopt;
         }
@@ -83,12 +83,12 @@
     case ConditionKind::None:
         return;
     case ConditionKind::ItemAbsent:
-        operation["ConditionExpression"] = AbsentExpression;
+        operation["ConditionExpression"] = ItemAbsentExpression;
         return;
     case ConditionKind::AttributeEquals:
-        operation["ConditionExpression"] = EqualsExpression;
+        operation["ConditionExpression"] = AttributeEqualsExpression;
         operation["ExpressionAttributeNames"]["#a"] = condition.attribute;
-        operation["ExpressionAttributeValues"][":v"] = text(condition.value);
+        operation["ExpressionAttributeValues"][":v"] = stringAttribute(condition.value);
         return;
     }
 }
@@ -99,10 +99,10 @@
     if (expression.empty()) {
         return Condition{};
     }
-    if (expression == AbsentExpression) {
+    if (expression == ItemAbsentExpression) {
         return Condition{ConditionKind::ItemAbsent, {}, {}};
     }
-    if (expression == EqualsExpression) {
+    if (expression == AttributeEqualsExpression) {
         return Condition{ConditionKind::AttributeEquals,
             operation["ExpressionAttributeNames"]["#a"].asString(),
             operation["ExpressionAttributeValues"][":v"]["S"].asString()};
--- a/src/table/internal/dynamodbtable.cpp
+++ b/src/table/internal/dynamodbtable.cpp
@@ -11,7 +11,8 @@
 
 constexpr char ContentType[] = "application/x-amz-json-1.0";
 
-/// The error code at the end of "com.amazonaws.dynamodb.v20120810#ConditionalCheckFailedException".
+/// The error code of an error response: the part of "__type" after "#", as in
+/// "com.amazonaws.dynamodb.v20120810#ConditionalCheckFailedException".
 std::string errorCode(const Json::Value &body)
 {
     if (!body.isObject() || !body["__type"].isString()) {
@@ -32,16 +33,16 @@
     return operation == "GetItem" || operation == "Query";
 }
 
-Error readFailure(const http::ClientResult &result)
+Error readError(const http::ClientResult &result)
 {
     if (result.transport != http::Transport::Completed) {
-        return failure(ErrorKind::Unavailable, "the table did not answer: " + result.error);
+        return failure(ErrorKind::Unavailable, "no complete response from the table: " + result.error);
     }
-    return failure(ErrorKind::Unavailable, fmt::format("the table refused with status {} {}", result.status, errorCode(parsedBody(result))));
+    return failure(ErrorKind::Unavailable, fmt::format("the table responded with status {} {}", result.status, errorCode(parsedBody(result))));
 }
 
-/// Which writes of a cancelled transaction failed, by their CancellationReasons.
-std::vector<bool> failedWrites(const Json::Value &body)
+/// For each write of a cancelled transaction whether its condition failed, from the CancellationReasons.
+std::vector<bool> failedConditions(const Json::Value &body)
 {
     std::vector<bool> failed;
     for (const Json::Value &reason : body["CancellationReasons"]) {
@@ -67,14 +68,15 @@
         return {WriteOutcome::ConditionFailed, {true}, code};
     }
     if (code == "TransactionCanceledException") {
-        return {WriteOutcome::ConditionFailed, failedWrites(body), code};
+        return {WriteOutcome::ConditionFailed, failedConditions(body), code};
     }
-    // NOTE A server error (5xx) may come after the write took effect; only a refusal (4xx) proves that it did not.
+    // NOTE A server error (5xx) may be returned after the write took effect; only a client error (4xx) proves that it
+    // did not.
     const bool refused = result.status >= 400 && result.status < 500;
     return {refused ? WriteOutcome::NotWritten : WriteOutcome::Unknown, {}, fmt::format("status {} {}", result.status, code)};
 }
 
-Json::Value putOrDelete(const Write &write, const std::string &tableName)
+Json::Value writeToJson(const Write &write, const std::string &tableName)
 {
     Json::Value json;
     json["TableName"] = tableName;
@@ -87,7 +89,7 @@
     return json;
 }
 
-const char *transactionMember(WriteKind kind)
+const char *transactionAction(WriteKind kind)
 {
     switch (kind) {
     case WriteKind::Put:
@@ -142,7 +144,7 @@
     body["ConsistentRead"] = true;
     call("GetItem", http::writeJson(body), [handler = std::move(handler)](http::ClientResult result) {
         if (result.transport != http::Transport::Completed || result.status != 200) {
-            handler(readFailure(result));
+            handler(readError(result));
             return;
         }
         const Json::Value answer = parsedBody(result);
@@ -162,7 +164,7 @@
     body["ExpressionAttributeValues"][":s"]["S"] = afterSort;
     call("Query", http::writeJson(body), [handler = std::move(handler)](http::ClientResult result) {
         if (result.transport != http::Transport::Completed || result.status != 200) {
-            handler(readFailure(result));
+            handler(readError(result));
             return;
         }
         std::vector<Item> items;
@@ -181,7 +183,7 @@
     counters_.writeRequests++;
     counters_.itemsWritten++;
     const char *operation = write.kind == WriteKind::Put ? "PutItem" : "DeleteItem";
-    call(operation, http::writeJson(putOrDelete(write, options_.tableName)), [handler = std::move(handler)](http::ClientResult result) {
+    call(operation, http::writeJson(writeToJson(write, options_.tableName)), [handler = std::move(handler)](http::ClientResult result) {
         handler(writeResult(result));
     });
 }
@@ -193,7 +195,7 @@
     Json::Value body;
     for (const Write &write : writes) {
         Json::Value entry;
-        entry[transactionMember(write.kind)] = putOrDelete(write, options_.tableName);
+        entry[transactionAction(write.kind)] = writeToJson(write, options_.tableName);
         body["TransactItems"].append(entry);
     }
     if (!token.empty()) {
--- a/src/table/internal/memorytable.cpp
+++ b/src/table/internal/memorytable.cpp
@@ -29,7 +29,7 @@
     return result;
 }
 
-bool MemoryRows::holds(const Write &write) const
+bool MemoryRows::conditionHolds(const Write &write) const
 {
     const auto found = items_.find(write.item.key);
     switch (write.condition.kind) {
@@ -50,7 +50,7 @@
     }
     WriteResult result{WriteOutcome::Written};
     for (const Write &write : writes) {
-        result.failed.push_back(!holds(write));
+        result.failed.push_back(!conditionHolds(write));
         if (result.failed.back()) {
             result.outcome = WriteOutcome::ConditionFailed;
         }
@@ -91,7 +91,7 @@
 void MemoryTable::submit(std::function<void()> operation)
 {
     if (faults.freeze) {
-        held_.push_back(std::move(operation));
+        heldOperations_.push_back(std::move(operation));
         return;
     }
     loop_.post(std::move(operation));
@@ -99,10 +99,10 @@
 
 void MemoryTable::release()
 {
-    for (auto &operation : held_) {
+    for (auto &operation : heldOperations_) {
         loop_.post(std::move(operation));
     }
-    held_.clear();
+    heldOperations_.clear();
 }
 
 void MemoryTable::get(Key key, GetHandler handler)
@@ -111,7 +111,7 @@
     submit([this, key = std::move(key), handler = std::move(handler)] {
         if (faults.down || faults.loseAnswers) {
             counters_.unavailable++;
-            handler(failure(ErrorKind::Unavailable, "the table is down"));
+            handler(failure(ErrorKind::Unavailable, "table unavailable (injected fault)"));
             return;
         }
         handler(rows_->get(key));
@@ -124,7 +124,7 @@
     submit([this, partition = std::move(partition), afterSort = std::move(afterSort), limit, handler = std::move(handler)] {
         if (faults.down || faults.loseAnswers) {
             counters_.unavailable++;
-            handler(failure(ErrorKind::Unavailable, "the table is down"));
+            handler(failure(ErrorKind::Unavailable, "table unavailable (injected fault)"));
             return;
         }
         handler(rows_->query(partition, afterSort, limit));
@@ -143,13 +143,13 @@
     submit([this, writes = std::move(writes), token = std::move(token), handler = std::move(handler)] {
         if (faults.down) {
             counters_.unavailable++;
-            handler(WriteResult{WriteOutcome::NotWritten, {}, "the table is down"});
+            handler(WriteResult{WriteOutcome::NotWritten, {}, "table unavailable (injected fault)"});
             return;
         }
         WriteResult result = rows_->transact(writes, token);
         if (faults.loseAnswers) {
             counters_.unavailable++;
-            result = WriteResult{WriteOutcome::Unknown, {}, "the answer was lost"};
+            result = WriteResult{WriteOutcome::Unknown, {}, "response of the table lost (injected fault)"};
         }
         handler(result);
     });
--- a/src/table/memorytable.h
+++ b/src/table/memorytable.h
@@ -9,34 +9,34 @@
 
 namespace cardamomlift::table {
 
-/// How the next operations of a MemoryTable misbehave, for tests.
+/// Faults that tests inject into the next operations of a MemoryTable.
 struct MemoryTableFaults {
-    bool down = false; ///< Nothing takes effect; writes end as NotWritten.
+    bool down = false; ///< Operations have no effect: reads fail, writes end as NotWritten.
     bool loseAnswers = false; ///< Writes take effect and end as Unknown; reads fail.
-    bool freeze = false; ///< Operations wait until freeze is cleared and release() is called.
+    bool freeze = false; ///< While set, new operations are held; release() starts them.
 };
 
-/// The rows of a table in this process's memory: the check of conditions, without time or transport.
+/// The items of a table in memory. Checks conditions and applies writes, synchronously.
 class MemoryRows
 {
 public:
     std::optional<Item> get(const Key &key) const;
     std::vector<Item> query(const std::string &partition, const std::string &afterSort, std::size_t limit) const;
-    /// Applies all of @p writes or none.
+    /// Applies all of @p writes or none. Does nothing if a transaction with the same non-empty @p token was applied before.
     WriteResult transact(std::span<const Write> writes, const std::string &token);
     std::size_t size() const;
 
 private:
-    bool holds(const Write &write) const;
+    bool conditionHolds(const Write &write) const;
     std::map<Key, Item> items_;
     std::set<std::string> tokens_;
 };
 
-/// A Table inside this process: for a daemon run alone, and the small fake that tests use.
+/// A Table in the memory of this process, for a single daemon without a platform and as a fake in tests.
 class MemoryTable : public Table
 {
 public:
-    /// Several tables may share @p rows, as several VMs share the platform's table.
+    /// Several MemoryTable objects may share @p rows, as the VMs of a deployment share the platform's table.
     static std::shared_ptr<MemoryTable> create(EventLoop &loop, std::shared_ptr<MemoryRows> rows);
 
     void get(Key key, GetHandler handler) override;
@@ -46,7 +46,7 @@
     const TableCounters &counters() const override;
 
     MemoryTableFaults faults;
-    /// Runs the operations held back by MemoryTableFaults::freeze.
+    /// Starts the operations held by MemoryTableFaults::freeze.
     void release();
 
 private:
@@ -54,7 +54,7 @@
     void submit(std::function<void()> operation);
     EventLoop &loop_;
     std::shared_ptr<MemoryRows> rows_;
-    std::vector<std::function<void()>> held_;
+    std::vector<std::function<void()>> heldOperations_;
     TableCounters counters_;
 };
 
--- a/src/table/tabletypes.h
+++ b/src/table/tabletypes.h
@@ -8,17 +8,18 @@
 
 namespace cardamomlift::table {
 
-/// The primary key of an item: a partition and a sort key, both text.
+/// The primary key of an item: partition key and sort key, both text.
 struct Key {
     std::string partition;
     std::string sort;
-    // NOLINTNEXTLINE(modernize-use-nullptr): a false finding on a defaulted comparison.
+    // NOLINTNEXTLINE(modernize-use-nullptr): false positive on a defaulted comparison.
     auto operator<=>(const Key &) const = default;
 };
 
 using Attributes = std::map<std::string, std::string, std::less<>>;
 
-/// One row. All attributes are text (DynamoDB type S, but for the expiry); the modules convert to their own structs.
+/// One item (row) of the table. All attributes are text (DynamoDB type S, except the expiry time); modules convert items to
+/// their own structs.
 struct Item {
     Key key;
     Attributes attributes;
@@ -27,7 +28,7 @@
 /// The text of attribute @p name, or an empty string.
 std::string attribute(const Item &item, std::string_view name);
 
-/// What must hold of the stored item for a write to take effect.
+/// The condition that the stored item must meet for a write to take effect.
 enum class ConditionKind {
     None,
     ItemAbsent, ///< No item has this key.
@@ -41,11 +42,11 @@
     std::string value;
 };
 
-/// What a write does.
+/// The kind of a write.
 enum class WriteKind {
-    Put, ///< Replaces the whole item.
+    Put, ///< Inserts the item or replaces it as a whole.
     Delete,
-    Check, ///< Writes nothing; only the condition counts (inside a transaction).
+    Check, ///< Writes nothing; only checks the condition. Only inside a transaction.
 };
 
 /// One conditional write.
@@ -55,29 +56,29 @@
     Condition condition;
 };
 
-/// What is known after a write was tried.
+/// What is known about the effect of a write.
 enum class WriteOutcome {
-    Written, ///< The table said so.
-    ConditionFailed, ///< The table said that nothing was written, because a condition did not hold.
-    NotWritten, ///< Certainly nothing was written: refused by the table, or no byte was sent.
-    Unknown, ///< The request may have taken effect; its answer was lost.
+    Written, ///< Confirmed by the table.
+    ConditionFailed, ///< The table reported that nothing was written, because a condition was not met.
+    NotWritten, ///< Nothing was written: the table rejected the request, or no byte of it was sent.
+    Unknown, ///< The request may have taken effect: no response, or a server error (5xx).
 };
 
-/// What became of a write or a transaction.
+/// The result of a write or a transaction.
 struct WriteResult {
     WriteOutcome outcome = WriteOutcome::Unknown;
-    /// With ConditionFailed in a transaction: for each write whether its condition failed.
+    /// With ConditionFailed: for each write of the transaction whether its condition failed.
     std::vector<bool> failed;
     std::string error;
 };
 
-/// Operations sent, for the figures "writes per request".
+/// Counters of the operations sent, for the figures of table writes per request.
 struct TableCounters {
     std::uint64_t reads = 0;
-    std::uint64_t writeRequests = 0; ///< Requests that write; a transaction counts once.
-    std::uint64_t itemsWritten = 0; ///< Items in those requests.
-    std::uint64_t unavailable = 0; ///< Requests that got no usable answer.
-    std::uint64_t bytesSent = 0; ///< Whole HTTP exchanges, for docs/CAPACITY.md.
+    std::uint64_t writeRequests = 0; ///< Write requests; a transaction counts once.
+    std::uint64_t itemsWritten = 0; ///< Items in these requests, whether or not they took effect.
+    std::uint64_t unavailable = 0; ///< Requests without a complete response or with a server error (5xx).
+    std::uint64_t bytesSent = 0; ///< Of the whole HTTP exchanges, including headers, for docs/CAPACITY.md.
     std::uint64_t bytesReceived = 0;
 };
 
