--- a/src/operatorapi/editflow.h
+++ b/src/operatorapi/editflow.h
@@ -14,7 +14,7 @@
 
 namespace cardamomlift::operatorapi {
 
-/// What an edit works with.
+/// The dependencies of an EditFlow.
 struct EditTools {
     EventLoop *loop = nullptr;
     std::shared_ptr<contract::ContractStore> store;
@@ -23,8 +23,9 @@
     std::shared_ptr<contract::ContractExchange> exchange;
 };
 
-/// One edit, from the operator's request to the answer: waits until this VM hears a majority of the entry VMs, puts the
-/// edit into the table, waits until it is in force at all of them, and tells where it is.
+/// Handles one contract edit request of an operator: waits until this VM hears a majority of the entry VMs, writes the
+/// edit to the table, waits until it is in force on all live entry VMs, and responds with the VMs where it is in force.
+/// Both waits are bounded; the edit stays accepted if the second one times out.
 class EditFlow : public std::enable_shared_from_this<EditFlow>
 {
 public:
@@ -32,22 +33,22 @@
 
 private:
     EditFlow() = default;
-    bool read(const http::Request &request);
+    bool parseRequest(const http::Request &request);
     void awaitMajority();
     void write();
-    void onResult(contract::EditResult result);
-    void awaitEverywhere();
-    bool isEverywhere() const;
+    void onEditResult(contract::EditResult result);
+    void awaitInForceEverywhere();
+    bool isInForceEverywhere() const;
     void respondRejected(const Findings &findings);
     EditTools tools_;
     std::shared_ptr<http::Responder> responder_;
     contract::Edit edit_;
-    contract::ProposedEdit text_;
+    contract::ProposedEdit proposedEdit_;
     contract::EditResult result_;
-    TimePoint waitEnd_;
+    TimePoint waitDeadline_;
 };
 
-/// Where @p revision is in force, as JSON, with the count.
-void addWhere(Json::Value &answer, const contract::ContractExchange &exchange, std::uint64_t revision);
+/// Adds to @p answer the contract revision of each live entry VM and on how many of them @p revision is in force.
+void addRevisionStatus(Json::Value &answer, const contract::ContractExchange &exchange, std::uint64_t revision);
 
 } // namespace cardamomlift::operatorapi
--- a/src/operatorapi/internal/editflow.cpp
+++ b/src/operatorapi/internal/editflow.cpp
@@ -7,10 +7,11 @@
 
 namespace {
 
-constexpr Duration WaitBound = std::chrono::seconds(5);
-constexpr Duration WaitStep = std::chrono::milliseconds(50);
+/// Time limit of each wait: for a majority, and for the edit to be in force everywhere.
+constexpr Duration MaxWait = std::chrono::seconds(5);
+constexpr Duration PollInterval = std::chrono::milliseconds(50);
 
-int statusOf(contract::EditOutcome outcome)
+int httpStatus(contract::EditOutcome outcome)
 {
     switch (outcome) {
     case contract::EditOutcome::Accepted:
@@ -27,7 +28,7 @@
     return 500;
 }
 
-bool hasMembers(const Json::Value &body)
+bool hasRequiredFields(const Json::Value &body)
 {
     return body.isObject() && body["customer"].isString() && body["text"].isString() && body["author"].isString() && body["editId"].isString()
         && body["baseVersion"].isUInt64();
@@ -35,7 +36,7 @@
 
 } // namespace
 
-void addWhere(Json::Value &answer, const contract::ContractExchange &exchange, std::uint64_t revision)
+void addRevisionStatus(Json::Value &answer, const contract::ContractExchange &exchange, std::uint64_t revision)
 {
     Json::UInt64 inForce = 0;
     answer["vms"] = Json::Value(Json::arrayValue);
@@ -58,59 +59,60 @@
     std::shared_ptr<EditFlow> flow(new EditFlow);
     flow->tools_ = std::move(tools);
     flow->responder_ = std::move(responder);
-    if (!flow->read(request)) {
-        flow->responder_->respond(errorAnswer(400, "bad_edit", "Send customer, text, author, editId and baseVersion."));
+    if (!flow->parseRequest(request)) {
+        flow->responder_->respond(
+            errorResponse(400, "bad_edit", "Invalid edit: customer, text, author and editId must be strings, baseVersion an unsigned integer."));
         return;
     }
     const auto others = flow->tools_.contracts->all();
-    const Findings findings = contract::checkEdit(flow->text_, nullptr, others);
+    const Findings findings = contract::checkEdit(flow->proposedEdit_, nullptr, others);
     if (!findings.empty()) {
         flow->respondRejected(findings);
         return;
     }
-    flow->waitEnd_ = flow->tools_.loop->now() + WaitBound;
+    flow->waitDeadline_ = flow->tools_.loop->now() + MaxWait;
     flow->awaitMajority();
 }
 
-bool EditFlow::read(const http::Request &request)
+bool EditFlow::parseRequest(const http::Request &request)
 {
     const auto body = http::parseJson(request.body);
-    if (!body || !hasMembers(*body)) {
+    if (!body || !hasRequiredFields(*body)) {
         return false;
     }
     const Json::Value &json = *body;
     edit_ = {json["customer"].asString(), json["text"].asString(), json["baseVersion"].asUInt64(), json["author"].asString(), json["editId"].asString()};
     const Json::Value file = json.get("file", edit_.customer);
     const Json::Value confirmed = json.get("confirmDanger", false);
-    text_ = {file.isString() ? file.asString() : edit_.customer, edit_.customer, edit_.text, confirmed.isBool() && confirmed.asBool()};
+    proposedEdit_ = {file.isString() ? file.asString() : edit_.customer, edit_.customer, edit_.text, confirmed.isBool() && confirmed.asBool()};
     return true;
 }
 
-// Without a majority in reach, VMs that can't reach the table may be serving because they hear one another: an edit
-// accepted now would stay unknown to them.
+// An edit is written only while this VM hears a majority of the entry VMs. Otherwise VMs that can't reach the table may
+// keep serving because they hear one another, and would not learn of the edit.
 void EditFlow::awaitMajority()
 {
     if (contract::hearsMajority(tools_.exchange->freshnessInputs())) {
         write();
         return;
     }
-    if (tools_.loop->now() >= waitEnd_) {
-        responder_->respond(errorAnswer(503, "no_majority", "This VM can't reach a majority of the entry VMs. Nothing was changed."));
+    if (tools_.loop->now() >= waitDeadline_) {
+        responder_->respond(errorResponse(503, "no_majority", "This VM does not hear a majority of the entry VMs. The edit was not written."));
         return;
     }
-    tools_.loop->after(WaitStep, [self = shared_from_this()] { self->awaitMajority(); });
+    tools_.loop->after(PollInterval, [self = shared_from_this()] { self->awaitMajority(); });
 }
 
 void EditFlow::write()
 {
     const auto validate = [self = shared_from_this()](const contract::ContractVersion *replaced) {
         const auto others = self->tools_.contracts->all();
-        return contract::checkEdit(self->text_, replaced, others);
+        return contract::checkEdit(self->proposedEdit_, replaced, others);
     };
-    tools_.store->apply(edit_, validate, [self = shared_from_this()](contract::EditResult result) { self->onResult(std::move(result)); });
+    tools_.store->apply(edit_, validate, [self = shared_from_this()](contract::EditResult result) { self->onEditResult(std::move(result)); });
 }
 
-void EditFlow::onResult(contract::EditResult result)
+void EditFlow::onEditResult(contract::EditResult result)
 {
     if (result.outcome == contract::EditOutcome::Rejected) {
         respondRejected(result.findings);
@@ -120,15 +122,15 @@
         Json::Value answer;
         answer["version"] = versionToJson(result.current);
         answer["error"]["message"] = result.message;
-        responder_->respond(http::jsonResponse(statusOf(result.outcome), answer));
+        responder_->respond(http::jsonResponse(httpStatus(result.outcome), answer));
         return;
     }
     result_ = std::move(result);
-    waitEnd_ = tools_.loop->now() + WaitBound;
-    awaitEverywhere();
+    waitDeadline_ = tools_.loop->now() + MaxWait;
+    awaitInForceEverywhere();
 }
 
-bool EditFlow::isEverywhere() const
+bool EditFlow::isInForceEverywhere() const
 {
     for (const contract::VmRevision &vm : tools_.exchange->vmRevisions()) {
         if (vm.revision < result_.current.revision) {
@@ -138,13 +140,13 @@
     return true;
 }
 
-void EditFlow::awaitEverywhere()
+void EditFlow::awaitInForceEverywhere()
 {
     const std::uint64_t revision = result_.current.revision;
-    if (isEverywhere() || tools_.loop->now() >= waitEnd_) {
+    if (isInForceEverywhere() || tools_.loop->now() >= waitDeadline_) {
         Json::Value answer;
         answer["version"] = versionToJson(result_.current);
-        addWhere(answer, *tools_.exchange, revision);
+        addRevisionStatus(answer, *tools_.exchange, revision);
         responder_->respond(http::jsonResponse(200, answer));
         return;
     }
@@ -153,7 +155,7 @@
     } else {
         tools_.exchange->promptLaggingPeers(revision);
     }
-    tools_.loop->after(WaitStep, [self = shared_from_this()] { self->awaitEverywhere(); });
+    tools_.loop->after(PollInterval, [self = shared_from_this()] { self->awaitInForceEverywhere(); });
 }
 
 void EditFlow::respondRejected(const Findings &findings)
--- a/src/operatorapi/internal/operatorapi.cpp
+++ b/src/operatorapi/internal/operatorapi.cpp
@@ -15,12 +15,12 @@
 constexpr std::string_view HistoryAction = "history";
 constexpr std::string_view WhereAction = "where";
 
-http::Response unavailable(const Error &error)
+http::Response tableUnavailable(const Error &error)
 {
-    return errorAnswer(503, "table_unavailable", error.message);
+    return errorResponse(503, "table_unavailable", error.message);
 }
 
-std::uint64_t numberOf(const http::Query &query, std::string_view name)
+std::uint64_t queryNumber(const http::Query &query, std::string_view name)
 {
     const auto found = query.find(name);
     return found == query.end() ? 0 : std::strtoull(found->second.c_str(), nullptr, 10);
@@ -47,7 +47,7 @@
     return server_->port();
 }
 
-bool OperatorApi::isAllowed(const http::Request &request) const
+bool OperatorApi::isAuthorized(const http::Request &request) const
 {
     if (tools_.tokenSha256.empty()) {
         return true;
@@ -58,76 +58,76 @@
 
 void OperatorApi::onRequest(http::Request request, ResponderPtr responder)
 {
-    if (!isAllowed(request)) {
-        responder->respond(errorAnswer(401, "unknown_credential", "Send the operators' token as a bearer token."));
+    if (!isAuthorized(request)) {
+        responder->respond(errorResponse(401, "unknown_credential", "Missing or invalid operator token. Send it as a bearer token."));
         return;
     }
     const std::string &path = request.path;
     if (path == "/metrics" && request.method == "GET") {
         responder->respond({200, {{"Content-Type", "text/plain; version=0.0.4"}}, tools_.metrics->page()});
     } else if (path == "/v1/status" && request.method == "GET") {
-        status(responder);
+        respondStatus(responder);
     } else if (path == "/v1/contracts" && request.method == "GET") {
-        list(responder);
+        respondContractList(responder);
     } else if (path == "/v1/contracts" && request.method == "POST") {
         EditFlow::run({tools_.loop, tools_.store, tools_.contracts, tools_.sync, tools_.exchange}, request, responder);
     } else if (path.starts_with(ContractsPath) && request.method == "GET") {
-        onContract(request, responder);
+        onContractRequest(request, responder);
     } else {
-        responder->respond(errorAnswer(404, "unknown_path", "There is nothing at this path."));
+        responder->respond(errorResponse(404, "unknown_path", "No resource for this path and method."));
     }
 }
 
-void OperatorApi::onContract(const http::Request &request, const ResponderPtr &responder)
+void OperatorApi::onContractRequest(const http::Request &request, const ResponderPtr &responder)
 {
     const std::string rest = request.path.substr(ContractsPath.size());
     const auto slash = rest.find('/');
     const std::string customer = rest.substr(0, slash);
     const std::string action = slash == std::string::npos ? std::string() : rest.substr(slash + 1);
     if (action.empty()) {
-        show(customer, responder);
+        respondContract(customer, responder);
     } else if (action == HistoryAction) {
-        history(customer, numberOf(request.query, "after"), responder);
+        respondHistory(customer, queryNumber(request.query, "after"), responder);
     } else if (action == WhereAction) {
-        where(customer, responder);
+        respondRevisionStatus(customer, responder);
     } else {
-        responder->respond(errorAnswer(404, "unknown_path", "There is nothing at this path."));
+        responder->respond(errorResponse(404, "unknown_path", "No resource for this path and method."));
     }
 }
 
-void OperatorApi::show(const std::string &customer, const ResponderPtr &responder)
+void OperatorApi::respondContract(const std::string &customer, const ResponderPtr &responder)
 {
     tools_.store->current(customer, [responder, customer](Result<std::vector<contract::ContractVersion>> versions) {
         if (!versions) {
-            responder->respond(unavailable(versions.error()));
+            responder->respond(tableUnavailable(versions.error()));
             return;
         }
         if (versions.value().empty()) {
-            responder->respond(errorAnswer(404, "unknown_customer", "There is no contract of " + customer + "."));
+            responder->respond(errorResponse(404, "unknown_customer", "No contract found for customer " + customer + "."));
             return;
         }
         responder->respond(http::jsonResponse(200, versionToJson(versions.value().front())));
     });
 }
 
-void OperatorApi::where(const std::string &customer, const ResponderPtr &responder)
+void OperatorApi::respondRevisionStatus(const std::string &customer, const ResponderPtr &responder)
 {
     const auto entry = tools_.contracts->find(customer);
     if (!entry) {
-        responder->respond(errorAnswer(404, "unknown_customer", "There is no contract of " + customer + "."));
+        responder->respond(errorResponse(404, "unknown_customer", "No contract found for customer " + customer + "."));
         return;
     }
     Json::Value answer;
     answer["version"] = versionToJson(entry->version);
-    addWhere(answer, *tools_.exchange, entry->version.revision);
+    addRevisionStatus(answer, *tools_.exchange, entry->version.revision);
     responder->respond(http::jsonResponse(200, answer));
 }
 
-void OperatorApi::history(const std::string &customer, std::uint64_t after, const ResponderPtr &responder)
+void OperatorApi::respondHistory(const std::string &customer, std::uint64_t after, const ResponderPtr &responder)
 {
     tools_.store->history(customer, after, [responder](Result<std::vector<contract::ContractVersion>> versions) {
         if (!versions) {
-            responder->respond(unavailable(versions.error()));
+            responder->respond(tableUnavailable(versions.error()));
             return;
         }
         Json::Value answer;
@@ -139,7 +139,7 @@
     });
 }
 
-void OperatorApi::list(const ResponderPtr &responder)
+void OperatorApi::respondContractList(const ResponderPtr &responder)
 {
     Json::Value answer;
     answer["contracts"] = Json::Value(Json::arrayValue);
@@ -149,7 +149,7 @@
     responder->respond(http::jsonResponse(200, answer));
 }
 
-void OperatorApi::status(const ResponderPtr &responder)
+void OperatorApi::respondStatus(const ResponderPtr &responder)
 {
     Json::Value answer;
     answer["instance"] = tools_.instance;
--- a/src/operatorapi/internal/operatorjson.cpp
+++ b/src/operatorapi/internal/operatorjson.cpp
@@ -57,7 +57,7 @@
     return findings;
 }
 
-http::Response errorAnswer(int status, const std::string &code, const std::string &message)
+http::Response errorResponse(int status, const std::string &code, const std::string &message)
 {
     Json::Value body;
     body["error"]["code"] = code;
--- a/src/operatorapi/operatorapi.h
+++ b/src/operatorapi/operatorapi.h
@@ -17,11 +17,11 @@
 
 namespace cardamomlift::operatorapi {
 
-/// What the operators' port works with.
+/// The dependencies of an OperatorApi.
 struct OperatorTools {
     EventLoop *loop = nullptr;
     std::string instance;
-    std::string tokenSha256; ///< Empty: no credential (a daemon run alone on loopback).
+    std::string tokenSha256; ///< Of the operators' bearer token. Empty: no token is required (a single daemon on loopback).
     std::shared_ptr<contract::ContractStore> store;
     std::shared_ptr<contract::ContractSet> contracts;
     std::shared_ptr<contract::ContractSync> sync;
@@ -31,7 +31,8 @@
     std::shared_ptr<lifecycle::Lifecycle> lifecycle;
 };
 
-/// The operators' port: contracts, status, metrics. It shares neither port nor credential with callers.
+/// The HTTP server for operators: contracts, status, metrics. Its port and credential are separate from those of the
+/// customer API.
 class OperatorApi
 {
 public:
@@ -42,13 +43,13 @@
     using ResponderPtr = std::shared_ptr<http::Responder>;
     OperatorApi() = default;
     void onRequest(http::Request request, ResponderPtr responder);
-    bool isAllowed(const http::Request &request) const;
-    void onContract(const http::Request &request, const ResponderPtr &responder);
-    void show(const std::string &customer, const ResponderPtr &responder);
-    void history(const std::string &customer, std::uint64_t after, const ResponderPtr &responder);
-    void where(const std::string &customer, const ResponderPtr &responder);
-    void list(const ResponderPtr &responder);
-    void status(const ResponderPtr &responder);
+    bool isAuthorized(const http::Request &request) const;
+    void onContractRequest(const http::Request &request, const ResponderPtr &responder);
+    void respondContract(const std::string &customer, const ResponderPtr &responder);
+    void respondHistory(const std::string &customer, std::uint64_t after, const ResponderPtr &responder);
+    void respondRevisionStatus(const std::string &customer, const ResponderPtr &responder);
+    void respondContractList(const ResponderPtr &responder);
+    void respondStatus(const ResponderPtr &responder);
     OperatorTools tools_;
     std::unique_ptr<http::Server> server_;
 };
--- a/src/operatorapi/operatorjson.h
+++ b/src/operatorapi/operatorjson.h
@@ -14,7 +14,7 @@
 contract::ContractVersion versionFromJson(const Json::Value &json);
 Json::Value findingsToJson(std::span<const Finding> findings);
 Findings findingsFromJson(const Json::Value &json);
-/// An error as every path of the operators' port gives it.
-http::Response errorAnswer(int status, const std::string &code, const std::string &message);
+/// An error response in the format that all paths of the operator API use.
+http::Response errorResponse(int status, const std::string &code, const std::string &message);
 
 } // namespace cardamomlift::operatorapi
