--- a/src/http1/tests/callerserver_test.cpp
+++ b/src/http1/tests/httpserver_test.cpp
@@ -1,15 +1,15 @@
-#include "http1/callerserver.h"
+#include "http1/httpserver.h"
 #include "http1/tests/looptest.h"
 
 namespace cardamomlift::http1 {
 
 namespace {
 
-/// A server whose requests are kept for the test to answer.
-class CallerServerTest : public LoopTest
+/// A server that collects its requests, which the test then answers.
+class HttpServerTest : public LoopTest
 {
 protected:
-    CallerServerTest()
+    HttpServerTest()
     {
         ServerHandlers handlers;
         handlers.onRequest = [this](ExchangePtr exchange) {
@@ -18,7 +18,7 @@
         handlers.onRejected = [this](int status) {
             rejected_.push_back(status);
         };
-        server_ = CallerServer::listen(*loop_, {"127.0.0.1", 0}, limits_, std::move(handlers)).value();
+        server_ = HttpServer::listen(*loop_, {"127.0.0.1", 0}, limits_, std::move(handlers)).value();
     }
 
     bool hasRequests(std::size_t count)
@@ -34,19 +34,19 @@
     }
 
     ServerLimits limits_;
-    std::shared_ptr<CallerServer> server_;
+    std::shared_ptr<HttpServer> server_;
     std::vector<ExchangePtr> exchanges_;
     std::vector<int> rejected_;
 };
 
-TEST_F(CallerServerTest, AnswersRequestsOfOneConnectionInTheirOrder)
+TEST_F(HttpServerTest, AnswersRequestsOfOneConnectionInTheirOrder)
 {
     RawClient client(server_->port());
     client.send("GET /1 HTTP/1.1\r\nHost: a\r\n\r\nGET /2 HTTP/1.1\r\nHost: a\r\n\r\n");
     ASSERT_TRUE(runUntil([&] { return hasRequests(1); }));
     EXPECT_EQ(exchanges_[0]->head().target, "/1");
     loop_->runDue();
-    EXPECT_EQ(exchanges_.size(), 1U) << "the second waits for the first answer";
+    EXPECT_EQ(exchanges_.size(), 1U) << "the second request waits until the first is answered";
     exchanges_[0]->answer(ok(), "one");
     ASSERT_TRUE(runUntil([&] { return hasRequests(2); }));
     EXPECT_EQ(exchanges_[1]->head().target, "/2");
@@ -55,7 +55,7 @@
     EXPECT_NE(client.received().find("one"), std::string::npos);
 }
 
-TEST_F(CallerServerTest, ABodyThatLooksLikeARequestIsABody)
+TEST_F(HttpServerTest, ABodyThatLooksLikeARequestIsABody)
 {
     const std::string hidden = "GET /hidden HTTP/1.1\r\nHost: a\r\n\r\n";
     RawClient client(server_->port());
@@ -67,7 +67,7 @@
     EXPECT_EQ(exchanges_.size(), 1U);
 }
 
-TEST_F(CallerServerTest, WhatCanBeReadInTwoWaysClosesTheConnection)
+TEST_F(HttpServerTest, ARequestWithAmbiguousLengthClosesTheConnection)
 {
     RawClient client(server_->port());
     client.send("POST /1 HTTP/1.1\r\nHost: a\r\nContent-Length: 5\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\nGET /hidden HTTP/1.1\r\nHost: a\r\n\r\n");
@@ -77,20 +77,20 @@
     EXPECT_TRUE(client.received().starts_with("HTTP/1.1 400"));
 }
 
-TEST_F(CallerServerTest, SeesThatTheCallerLeftWhileItWaits)
+TEST_F(HttpServerTest, NoticesAClientThatDisconnectsWhileItWaits)
 {
     RawClient client(server_->port());
     client.send("GET /1 HTTP/1.1\r\nHost: a\r\n\r\n");
     ASSERT_TRUE(runUntil([&] { return hasRequests(1); }));
-    bool gone = false;
-    exchanges_[0]->onGone([&] { gone = true; });
+    bool disconnected = false;
+    exchanges_[0]->onDisconnected([&] { disconnected = true; });
     client.close();
-    ASSERT_TRUE(runUntil([&] { return gone; }));
+    ASSERT_TRUE(runUntil([&] { return disconnected; }));
     exchanges_[0]->answer(ok(), "late");
     EXPECT_EQ(server_->openExchanges(), 0U);
 }
 
-TEST_F(CallerServerTest, ABrokenOffStreamHasNoEndMark)
+TEST_F(HttpServerTest, AnAbortedResponseHasNoLastChunk)
 {
     RawClient client(server_->port());
     client.send("GET /1 HTTP/1.1\r\nHost: a\r\n\r\n");
@@ -98,27 +98,27 @@
     exchanges_[0]->begin(ok());
     exchanges_[0]->send("part");
     ASSERT_TRUE(runUntil([&] { return client.received().find("part") != std::string::npos; }));
-    exchanges_[0]->breakOff();
+    exchanges_[0]->abort();
     ASSERT_TRUE(runUntil([&] { return client.hasEnded(); }));
     EXPECT_EQ(client.received().find("0\r\n\r\n"), std::string::npos);
 }
 
-TEST_F(CallerServerTest, ClosingAnswersGoOnBeingGiven)
+TEST_F(HttpServerTest, DisabledKeepAliveClosesConnectionsAfterTheirResponse)
 {
     RawClient client(server_->port());
     client.send("GET /1 HTTP/1.1\r\nHost: a\r\n\r\n");
     ASSERT_TRUE(runUntil([&] { return hasRequests(1); }));
-    server_->beginClosing();
+    server_->disableKeepAlive();
     exchanges_[0]->answer(ok(), "one");
     ASSERT_TRUE(runUntil([&] { return client.hasEnded(); }));
     EXPECT_NE(client.received().find("Connection: close"), std::string::npos);
     EXPECT_TRUE(client.received().ends_with("one"));
     RawClient second(server_->port());
     second.send("GET /2 HTTP/1.1\r\nHost: a\r\n\r\n");
-    ASSERT_TRUE(runUntil([&] { return hasRequests(2); })) << "new connections are still taken";
+    ASSERT_TRUE(runUntil([&] { return hasRequests(2); })) << "new connections are still accepted";
 }
 
-TEST_F(CallerServerTest, NothingIsReadOnceTheServerStops)
+TEST_F(HttpServerTest, NothingIsReadAfterStopReading)
 {
     RawClient kept(server_->port());
     ASSERT_TRUE(runUntil([&] { return server_->openConnections() == 1; }));
@@ -134,7 +134,7 @@
     EXPECT_EQ(server_->openConnections(), 1U);
 }
 
-TEST_F(CallerServerTest, ExpectedContinueIsGiven)
+TEST_F(HttpServerTest, SendsContinueIfExpected)
 {
     RawClient client(server_->port());
     client.send("POST /1 HTTP/1.1\r\nHost: a\r\nExpect: 100-continue\r\nContent-Length: 2\r\n\r\n");
